--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -16,7 +16,8 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 use teaselshunt_routing::{
-    Endpoint, EndpointKey, EndpointState, Endpoints, EngineTag, Need, Pacing, Peers, RateNews, Rates, Verdict,
+    Endpoint, EndpointKey, EndpointState, Endpoints, EngineTag, Need, Pacing, Peers, RateReport, Rates,
+    StepOutcome,
 };
 
 use crate::quotas::{Mishap, Trouble};
@@ -186,7 +187,7 @@
     next: Duration,
     life: u64,
     sequence: u64,
-    news: Rc<Vec<RateNews>>,
+    news: Rc<Vec<RateReport>>,
 }
 
 struct Answer {
@@ -346,10 +347,10 @@
         let (now, instances) = (self.now, self.nodes.len());
         let node = &mut self.nodes[from];
         node.next_beat = now + beat * rounds;
-        node.peers.forget(now);
-        let part = node.peers.part(now);
+        node.peers.remove_unresponsive(now);
+        let part = node.peers.reachable_share(now);
         node.endpoints.rates().share_among(now, instances, part);
-        let news = Rc::new(node.endpoints.rates().news(now));
+        let news = Rc::new(node.endpoints.rates().reports(now));
         node.sequence += 1;
         let (life, sequence, domain) = (node.life, node.sequence, node.domain);
         for to in 0..instances {
@@ -418,7 +419,7 @@
             };
             let endpoint = node.keys.iter().position(|&k| k == key).expect("it is listed");
             node.endpoints.begin(now, key, 0);
-            node.endpoints.rates().take(now, self.tags[endpoint]);
+            node.endpoints.rates().charge(now, self.tags[endpoint]);
             self.answers.push_back(Answer { at: now + WORK, to: index, life: node.life, endpoint });
             if !in_force {
                 continue;
@@ -455,20 +456,20 @@
             return;
         }
         self.heard.insert(telling.from, (telling.life, telling.sequence));
-        self.peers.heard(now, telling.from, u32::from(telling.domain), telling.next);
+        self.peers.observe(now, telling.from, u32::from(telling.domain), telling.next);
         for news in telling.news.iter() {
-            if let Some(word) = news.word {
-                self.endpoints.rates().told_word(now, news.endpoint, word);
+            if let Some(word) = news.observation {
+                self.endpoints.rates().merge_observation(now, news.endpoint, word);
             }
-            self.endpoints.rates().told_sends(now, peer(telling.from), telling.life, *news);
+            self.endpoints.rates().merge_sends(now, peer(telling.from), telling.life, *news);
         }
     }
 
     fn answered(&mut self, now: Instant, endpoint: usize, tag: EngineTag, rate: Option<f64>) {
         let key = self.keys[endpoint];
         self.endpoints.end(key, 0);
-        self.endpoints.learn(now, key, Verdict::Answered(WORK));
-        self.endpoints.rates().answered(now, tag, rate);
+        self.endpoints.learn(now, key, StepOutcome::Answered(WORK));
+        self.endpoints.rates().observe_response(now, tag, rate);
     }
 }
 
--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -7,7 +7,7 @@
 //! Calls to the store are counted and shared among all instances, and a change wakes every one of them. After a change
 //! an instance therefore waits a part of the time that it has to apply the next one, and then takes all that has
 //! gathered in one call. Where a failure domain has many instances, few of them watch and tell the others what they
-//! read ([`Telling`]); `teaselshunt_routing::Source` says who, and the head of its module why that is enough.
+//! read ([`Telling`]); `teaselshunt_routing::UpdateSource` says who, and the head of its module why that is enough.
 //!
 //! A version replaces only a lower one. An endpoint that has left does not come back. What is known stays in use
 //! while the store is away.
@@ -30,7 +30,8 @@
 use rand::Rng;
 use slog::{info, warn};
 use teaselshunt_routing::{
-    Ask, Changes, Endpoint, Era, Freshness, Holders, Listing, Passage, Pulse, RouteSet, Source, Stage,
+    Endpoint, Era, EraOrder, Freshness, ReadNeed, RecentChanges, RouteSet, SnapshotSources, Stage,
+    StallDetector, UpdateSource, UpsertOutcome,
 };
 use teaselshunt_teams::Teams;
 use tokio::sync::{Notify, mpsc};
@@ -113,9 +114,9 @@
     /// Revision that was known when the store dropped the history behind it.
     lost: Cell<Option<u64>>,
     /// Peers that have the whole list.
-    holders: RefCell<Holders<SocketAddr>>,
+    holders: RefCell<SnapshotSources<SocketAddr>>,
     /// Entries that changed lately.
-    changes: RefCell<Changes>,
+    changes: RefCell<RecentChanges>,
     /// Whether what peers told did not add up to their list, so that only a whole copy is of use.
     diverged: Cell<bool>,
     /// The era to which `revision` and `reading` belong.
@@ -130,12 +131,12 @@
     lapses: Cell<Option<Instant>>,
     /// Since when an entry that is found missing now may have been so.
     absence: Cell<Instant>,
-    source: Cell<Source>,
+    source: Cell<UpdateSource>,
     freshness: Cell<Freshness>,
-    pulse: Cell<Pulse>,
+    pulse: Cell<StallDetector>,
     /// Wakes an instance that goes by its peers: its source has changed, or it must ask the store.
     woken: Notify,
-    ask: Cell<Ask>,
+    ask: Cell<ReadNeed>,
     /// To whoever sends tellings to peers.
     tellings: mpsc::Sender<Telling>,
 }
@@ -161,7 +162,7 @@
             absence: Cell::new(started),
             source: Cell::default(),
             freshness: Cell::new(Freshness::new(settings.apply.min(settings.drain))),
-            pulse: Cell::new(Pulse::new(node.clock.uptime())),
+            pulse: Cell::new(StallDetector::new(node.clock.uptime())),
             woken: Notify::new(),
             ask: Cell::default(),
             tellings,
@@ -180,7 +181,7 @@
                     tokio::time::sleep(SETTLE_LOOK).await;
                     continue;
                 }
-                (Some(_), Source::Peers) if self.believes() => {
+                (Some(_), UpdateSource::Peers) if self.believes() => {
                     self.wait_for_word().await;
                     continue;
                 }
@@ -237,7 +238,7 @@
 
     /// News is about to be taken over.
     fn note_absence(&self) {
-        let age = self.freshness.get().absence(self.node.clock.uptime());
+        let age = self.freshness.get().missing_for(self.node.clock.uptime());
         let now = self.node.now();
         self.absence.set(now.checked_sub(age).unwrap_or(now));
     }
@@ -258,11 +259,11 @@
         let outcome = outcome(result.as_ref().map(|(head, _)| head.status));
         self.node.metrics.store.with_label_values(&[name, outcome]).inc();
         let (head, body) = result.map_err(StoreError::Exchange)?;
-        let era = Era::told(self.node.protocol.read_era(&head.headers));
-        match self.era.get().judge(era) {
-            Passage::Same => self.era.set(self.era.get().later(era)),
-            Passage::Newer => self.renew(era),
-            Passage::Older => return Err(StoreError::Outdated),
+        let era = Era::new(self.node.protocol.read_era(&head.headers));
+        match self.era.get().compare(era) {
+            EraOrder::Same => self.era.set(self.era.get().later(era)),
+            EraOrder::Newer => self.renew(era),
+            EraOrder::Older => return Err(StoreError::Outdated),
         }
         Ok((head.status, body))
     }
@@ -275,11 +276,11 @@
         self.era.set(era);
         self.revision.set(None);
         self.lost.set(None);
-        *self.changes.borrow_mut() = Changes::default();
+        *self.changes.borrow_mut() = RecentChanges::default();
         *self.reading.borrow_mut() = Reading::default();
         let now = self.node.now();
         self.may_lapse(now + RETURN);
-        self.node.state.borrow_mut().endpoints.recall(now + COPIED);
+        self.node.state.borrow_mut().endpoints.note_restore(now + COPIED);
     }
 
     /// Waits for changes. While the store is lost it does not wait: a long call that is made just before the store's
@@ -291,7 +292,7 @@
         if ask.is_filled(revision) {
             return Ok(());
         }
-        let gap = matches!(ask, Ask::Gap(_));
+        let gap = matches!(ask, ReadNeed::Gap(_));
         if gap && self.copy(Some(revision), true).await == Copied::Whole {
             return Ok(());
         }
@@ -300,7 +301,7 @@
         let call = self.node.protocol.watch(revision, wait);
         let era = self.era.get();
         let (status, body) = self.call("watch", call, wait + SLACK).await?;
-        if era.judge(self.era.get()) == Passage::Newer {
+        if era.compare(self.era.get()) == EraOrder::Newer {
             // The revision may exist again, with other content: changes after it are not what is missing here.
             return Ok(());
         }
@@ -325,11 +326,11 @@
             // Where hundreds of changes come at once the store has cut its answer off, and more wait already.
             let coalesces = (1..BULK).contains(&batch.news.len());
             // Of a gap the others hear from whoever told of what lies behind it.
-            if source != Source::Alone && !gap {
+            if source != UpdateSource::Alone && !gap {
                 self.tell((revision, reached), &batch.news);
             }
             self.apply(batch);
-            if coalesces && source != Source::Peers {
+            if coalesces && source != UpdateSource::Peers {
                 tokio::time::sleep(self.coalescing()).await;
             }
         }
@@ -337,13 +338,13 @@
     }
 
     /// How long a watch waits while the store is well.
-    fn usual_wait(&self, source: Source) -> Duration {
+    fn usual_wait(&self, source: UpdateSource) -> Duration {
         let settings = &self.node.settings;
         let shortest = settings.apply.min(settings.drain);
         match source {
-            Source::Alone => (settings.settle + shortest).mul_f64(WAIT_PART),
-            Source::Reader => shortest.mul_f64(READER_WAIT_PART),
-            Source::Peers => Duration::ZERO,
+            UpdateSource::Alone => (settings.settle + shortest).mul_f64(WAIT_PART),
+            UpdateSource::Reader => shortest.mul_f64(READER_WAIT_PART),
+            UpdateSource::Peers => Duration::ZERO,
         }
     }
 
@@ -381,10 +382,10 @@
             }
             News::Gone(id) => self.lose(&id, revision),
             News::Invalid { key, endpoint, cause } => {
-                let withdraw = |id: &Arc<str>| self.node.state.borrow_mut().endpoints.withdraw(id);
+                let withdraw = |id: &Arc<str>| self.node.state.borrow_mut().endpoints.invalidate(id);
                 let withdrawn = endpoint.as_ref().is_some_and(withdraw);
                 if let Some(id) = endpoint.filter(|_| withdrawn) {
-                    self.changes.borrow_mut().note(revision, id);
+                    self.changes.borrow_mut().record(revision, id);
                 }
                 warn!(self.node.log, "unreadable entry"; "key" => key, "cause" => cause, "withdrawn" => withdrawn);
             }
@@ -403,22 +404,22 @@
         let part = endpoint.stage.map(Stage::text);
         let listing = self.node.state.borrow_mut().endpoints.upsert(endpoint);
         match listing {
-            Listing::Started | Listing::Changed => {
+            UpsertOutcome::Started | UpsertOutcome::Changed => {
                 info!(self.node.log, "endpoint"; "endpoint" => &*id, "service" => &*service, "address" => %address,
                     "state" => ?state, "stage" => part, "revision" => revision);
             }
-            Listing::Foreign => {
+            UpsertOutcome::Foreign => {
                 warn!(self.node.log, "endpoint"; "endpoint" => &*id, "state" => "withdrawn",
                     "cause" => "an entry without a time of birth", "revision" => revision);
             }
-            Listing::Outdated => {
+            UpsertOutcome::Outdated => {
                 info!(self.node.log, "endpoint"; "endpoint" => &*id, "state" => "outdated", "revision" => revision);
             }
-            Listing::Known => {}
+            UpsertOutcome::Unchanged => {}
         }
-        let news = matches!(listing, Listing::Started | Listing::Changed);
-        if listing != Listing::Known {
-            self.changes.borrow_mut().note(revision, id);
+        let news = matches!(listing, UpsertOutcome::Started | UpsertOutcome::Changed);
+        if listing != UpsertOutcome::Unchanged {
+            self.changes.borrow_mut().record(revision, id);
         }
         news
     }
@@ -440,7 +441,7 @@
 
     /// The entry of an endpoint has gone. Shortly after the store's return that may be a lapse of a live one.
     fn lose(&self, id: &Arc<str>, revision: u64) {
-        self.changes.borrow_mut().note(revision, Arc::clone(id));
+        self.changes.borrow_mut().record(revision, Arc::clone(id));
         let now = self.node.now();
         let lapsed = self.lapses.get().is_some_and(|until| now < until);
         let mut state = self.node.state.borrow_mut();
@@ -448,7 +449,7 @@
             // Not from now on: the store may have said so for as long as nothing else was heard of it, and an endpoint that
             // has left gets nothing new for longer than the deployment allows.
             let until = self.absence.get() + self.node.settings.drain.mul_f64(DOUBT_PART);
-            state.endpoints.doubt(id, until);
+            state.endpoints.mark_unconfirmed(id, until);
         } else {
             state.endpoints.remove(id);
         }
--- a/crates/forward/src/catalog/copies.rs
+++ b/crates/forward/src/catalog/copies.rs
@@ -1,5 +1,5 @@
 //! Copies of the whole list that instances of a failure domain give one another;
-//! [`teaselshunt_routing::Holders`] says who asks whom, and why.
+//! [`teaselshunt_routing::SnapshotSources`] says who asks whom, and why.
 //!
 //! An asker that knows the list as of some revision is told what changed since, where that is remembered, with a checksum of
 //! the whole. If its own list then has another one, it asks for the whole list.
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use slog::{debug, info};
 use teaselshunt_routing::{
-    Endpoint, EndpointState, Era, Listing, Passage, RouteSet, Search, Stage, Supply, tag,
+    Endpoint, EndpointState, Era, EraOrder, RouteSet, SnapshotSearch, SnapshotStep, Stage, UpsertOutcome, tag,
 };
 
 use super::sharing::{millis, told};
@@ -137,13 +137,13 @@
 impl Catalog {
     /// Era and revision of the list that this instance can give a copy of.
     pub(crate) fn holds(&self) -> (Option<u64>, Option<u64>) {
-        let plain = self.node.state.borrow().endpoints.is_plain(self.node.now());
+        let plain = self.node.state.borrow().endpoints.all_confirmed(self.node.now());
         (self.era.get().number(), self.revision.get().filter(|_| plain))
     }
 
     /// A peer of the same failure domain says up to which revision it has the list.
     pub(crate) fn holder(&self, peer: SocketAddr, (era, revision): (Option<u64>, Option<u64>)) {
-        self.holders.borrow_mut().told(peer, Era::told(era), revision);
+        self.holders.borrow_mut().observe(peer, Era::new(era), revision);
     }
 
     /// Whether some peer is known to have the list.
@@ -151,33 +151,41 @@
         !self.holders.borrow().is_empty()
     }
 
-    /// Copies the list from a peer that has a later one than `beyond`. Looks for one for as long as knowledge may go
+    /// Copies the list from a peer that has a later one than `newer_than`. Looks for one for as long as knowledge may go
     /// unconfirmed; where only a `gap` is to be filled and nobody has it, for a moment.
-    pub(super) async fn copy(&self, beyond: Option<u64>, gap: bool) -> Copied {
+    pub(super) async fn copy(&self, newer_than: Option<u64>, gap: bool) -> Copied {
         if self.node.settings.peers.is_none() {
             return Copied::Nowhere;
         }
         let begun = self.node.clock.uptime();
         let spread = 1.0 + self.node.state.borrow_mut().rng.random_range(0.0..SPREAD);
-        let patience = self.freshness.get().limit().mul_f64(spread);
-        let hope = if gap { GAP_SPREAD.mul_f64(spread) } else { patience };
+        let busy_timeout = self.freshness.get().limit().mul_f64(spread);
+        let no_source_timeout = if gap { GAP_SPREAD.mul_f64(spread) } else { busy_timeout };
         let mut tried = Vec::new();
         loop {
-            let up = self.node.now().duration_since(self.started);
-            let missing = self.node.clock.uptime().saturating_sub(begun);
-            let search = Search { era: self.era.get(), beyond, tried, missing, patience, hope, up };
+            let uptime = self.node.now().duration_since(self.started);
+            let missing_for = self.node.clock.uptime().saturating_sub(begun);
+            let search = SnapshotSearch {
+                era: self.era.get(),
+                newer_than,
+                tried,
+                missing_for,
+                busy_timeout,
+                no_source_timeout,
+                uptime,
+            };
             let step = {
                 let rng = &mut self.node.state.borrow_mut().rng;
                 self.holders.borrow().next(&search, self.source.get(), rng)
             };
             tried = search.tried;
             match step {
-                Supply::Store => return Copied::Nowhere,
-                Supply::Wait => {
+                SnapshotStep::Store => return Copied::Nowhere,
+                SnapshotStep::Wait => {
                     tried.clear();
                     tokio::time::sleep(LOOK).await;
                 }
-                Supply::Peer(peer) => match self.copy_from(peer, beyond).await {
+                SnapshotStep::Peer(peer) => match self.copy_from(peer, newer_than).await {
                     Ok(()) => return Copied::Whole,
                     Err(error) => {
                         debug!(self.node.log, "no copy"; "peer" => %peer, "error" => %error);
@@ -207,7 +215,7 @@
         }
         let copy: ListCopy = postcard::from_bytes(&body)?;
         let known = self.revision.get().max(beyond);
-        let same = self.era.get().judge(Era::told(copy.era)) == Passage::Same;
+        let same = self.era.get().compare(Era::new(copy.era)) == EraOrder::Same;
         if copy.format != FORMAT
             || !same
             || known.is_some_and(|known| copy.revision <= known)
@@ -220,7 +228,7 @@
 
     fn take_copy(&self, copy: ListCopy, asked: Duration, peer: SocketAddr) -> Result<(), CopyError> {
         let ListCopy { era, revision, age, routes, since, groups, gone, checksum, .. } = copy;
-        self.era.set(self.era.get().later(Era::told(era)));
+        self.era.set(self.era.get().later(Era::new(era)));
         self.note_absence();
         // Pages that were read before the copy may show endpoints that it does not have yet.
         let mut present = std::mem::take(&mut *self.reading.borrow_mut()).present;
@@ -258,7 +266,7 @@
     fn list_endpoint(&self, endpoint: Endpoint, revision: u64) -> bool {
         let mut state = self.node.state.borrow_mut();
         if !state.whole {
-            return state.endpoints.upsert(endpoint) != Listing::Known;
+            return state.endpoints.upsert(endpoint) != UpsertOutcome::Unchanged;
         }
         drop(state);
         self.apply_endpoint(endpoint, revision)
@@ -268,7 +276,7 @@
     pub(super) fn give(&self, since: Option<u64>) -> Option<Vec<u8>> {
         let revision = self.revision.get()?;
         let state = self.node.state.borrow();
-        if !state.endpoints.is_plain(self.node.now()) {
+        if !state.endpoints.all_confirmed(self.node.now()) {
             return None;
         }
         let changed = since.and_then(|since| self.changes.borrow().since(since));
--- a/crates/forward/src/catalog/listing.rs
+++ b/crates/forward/src/catalog/listing.rs
@@ -6,7 +6,7 @@
 
 use hyper::StatusCode;
 use slog::info;
-use teaselshunt_routing::Passage;
+use teaselshunt_routing::EraOrder;
 
 use super::copies::Copied;
 use super::{Catalog, StoreError};
@@ -83,7 +83,7 @@
         let era = self.era.get();
         let call = self.node.protocol.list(after.as_deref());
         let (status, body) = self.call("list", call, PAGE).await?;
-        if after.is_some() && era.judge(self.era.get()) == Passage::Newer {
+        if after.is_some() && era.compare(self.era.get()) == EraOrder::Newer {
             return Ok(Page::Outdated);
         }
         if status != StatusCode::OK {
@@ -134,11 +134,11 @@
     pub(super) fn has_whole(&self, revision: u64) {
         self.revision.set(Some(revision));
         self.node.state.borrow_mut().whole = true;
-        self.changes.borrow_mut().begin(revision);
+        self.changes.borrow_mut().start_at(revision);
     }
 
     pub(super) fn forget_absent(&self, present: &HashSet<Arc<str>>, revision: u64) {
-        let absent = self.node.state.borrow().endpoints.absent(present);
+        let absent = self.node.state.borrow().endpoints.missing_from(present);
         for id in absent {
             self.lose(&id, revision);
         }
--- a/crates/forward/src/catalog/sharing.rs
+++ b/crates/forward/src/catalog/sharing.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use slog::{debug, info, warn};
-use teaselshunt_routing::{Ask, Era, Passage, Source, Word};
+use teaselshunt_routing::{Era, EraOrder, ReadNeed, UpdateEffect, UpdateSource};
 
 use super::{Catalog, RETURN};
 use crate::protocol::{Batch, News};
@@ -42,13 +42,13 @@
 impl Catalog {
     /// Peers of the same failure domain are those that `near` gives. Called several times a second.
     pub(crate) fn peers_are(&self, own: SocketAddr, near: &HashSet<SocketAddr>) {
-        self.holders.borrow_mut().keep(|peer| near.contains(&peer));
+        self.holders.borrow_mut().retain(|peer| near.contains(&peer));
         let mut pulse = self.pulse.get();
-        pulse.beat(self.node.clock.uptime());
+        pulse.tick(self.node.clock.uptime());
         self.pulse.set(pulse);
-        let source = match Source::of(&own, near.iter().copied()) {
+        let source = match UpdateSource::of(&own, near.iter().copied()) {
             // Engines are ordered by what the list says now, without the way over a peer.
-            Source::Peers if self.orders => Source::Reader,
+            UpdateSource::Peers if self.orders => UpdateSource::Reader,
             source => source,
         };
         if self.source.replace(source) != source {
@@ -59,30 +59,30 @@
 
     /// Whether what peers tell is enough for now.
     pub(super) fn believes(&self) -> bool {
-        self.ask.get() == Ask::No && self.freshness.get().left(self.node.clock.uptime()).is_some()
+        self.ask.get() == ReadNeed::No && self.freshness.get().remaining(self.node.clock.uptime()).is_some()
     }
 
     /// Waits until what is known must be confirmed, or something else is to be looked at.
     pub(super) async fn wait_for_word(&self) {
         let before = self.freshness.get();
-        let Some(left) = before.left(self.node.clock.uptime()) else { return };
+        let Some(left) = before.remaining(self.node.clock.uptime()) else { return };
         let part = self.node.state.borrow_mut().rng.random_range(0.0..EARLY);
         let pause = left.saturating_sub(before.limit().mul_f64(part));
         let woken = tokio::time::timeout(pause, self.woken.notified()).await.is_ok();
         if !woken && self.freshness.get() == before {
-            self.ask.set(Ask::Due);
+            self.ask.set(ReadNeed::Due);
         }
     }
 
     /// A peer of the same failure domain tells what the store answered it.
     pub(crate) fn told(&self, from: SocketAddr, telling: Telling) {
         let Telling { era, after, revision, age, lapses, news } = telling;
-        match self.era.get().judge(Era::told(era)) {
-            Passage::Same => {}
-            Passage::Newer => return self.ask(u64::MAX),
-            Passage::Older => return,
+        match self.era.get().compare(Era::new(era)) {
+            EraOrder::Same => {}
+            EraOrder::Newer => return self.ask(u64::MAX),
+            EraOrder::Older => return,
         }
-        self.holders.borrow_mut().told(from, Era::told(era), Some(revision));
+        self.holders.borrow_mut().observe(from, Era::new(era), Some(revision));
         let mut news: Option<Vec<News>> = match news.as_deref().map(postcard::from_bytes).transpose() {
             Ok(news) => news,
             Err(error) => {
@@ -95,13 +95,13 @@
         let now = self.node.now();
         self.may_lapse(now + millis(lapses).min(RETURN));
         self.note_absence();
-        match Word::of(known, after, revision, news.is_some()) {
-            Word::Confirmed => {}
-            Word::Changes => {
+        match UpdateEffect::of(known, after, revision, news.is_some()) {
+            UpdateEffect::Confirmed => {}
+            UpdateEffect::Changes => {
                 self.revision.set(Some(revision));
                 self.apply(Batch { news: news.unwrap_or_default(), revision, more: None });
             }
-            Word::Gap => return self.ask(revision),
+            UpdateEffect::Gap => return self.ask(revision),
         }
         self.confirmed_by_peer(self.node.clock.uptime(), millis(age));
     }
@@ -128,14 +128,15 @@
     /// The first page of a whole list was read: peers are told its configuration before the rest is read.
     pub(super) fn tell_routes(&self) {
         let routes = self.node.state.borrow().routes.clone();
-        if let (Source::Reader, Some(lost), Some(routes)) = (self.source.get(), self.lost.get(), routes) {
+        if let (UpdateSource::Reader, Some(lost), Some(routes)) = (self.source.get(), self.lost.get(), routes)
+        {
             self.tell((lost, lost), &[News::Routes(routes)]);
         }
     }
 
     /// The whole list was read after history was lost: peers hear that it can be had here.
     pub(super) fn tell_whole(&self) {
-        let Some(revision) = self.revision.get().filter(|_| self.source.get() == Source::Reader) else {
+        let Some(revision) = self.revision.get().filter(|_| self.source.get() == UpdateSource::Reader) else {
             return;
         };
         if self.lost.take().is_some() {
@@ -145,7 +146,7 @@
 
     /// Something up to a revision is missing here, which a peer or the store must be asked for.
     fn ask(&self, revision: u64) {
-        self.ask.set(self.ask.get().missing(revision));
+        self.ask.set(self.ask.get().with_gap(revision));
         self.woken.notify_one();
     }
 
--- a/crates/forward/src/generate.rs
+++ b/crates/forward/src/generate.rs
@@ -13,7 +13,7 @@
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
 use teaselshunt_core::{ErrorKind, Refusal};
-use teaselshunt_routing::{EndpointKey, Patience, Repeat, Sends};
+use teaselshunt_routing::{EndpointKey, Repeat, Sends, WaitPolicy};
 
 use crate::body::AnswerBody;
 use crate::calls::{CALL, tidy};
@@ -37,7 +37,7 @@
 
 /// Serves a generation.
 pub(crate) async fn run(node: &Rc<Node>, job: Job, trace: Trace) -> Response<AnswerBody> {
-    let patience = Patience::arriving(job.arrived, job.until, &job.route, job.returns);
+    let patience = WaitPolicy::for_arrival(job.arrived, job.until, &job.route, job.returns);
     let (answer, slot) = match start(node, &job, &trace, patience, Prompt::Unread, Vec::new()).await {
         Ok(started) => started,
         Err(refusal) => return refuse(node, refusal, trace),
@@ -69,7 +69,7 @@
         return None;
     }
     job.headers.insert("last-event-id", last);
-    let patience = Patience::resuming(node.now(), job.until);
+    let patience = WaitPolicy::for_resume(node.now(), job.until);
     let (answer, slot) = start(node, job, trace, patience, Prompt::ByDecode, vec![broken]).await.ok()?;
     (answer.response.status() == StatusCode::OK).then_some((answer, slot))
 }
@@ -106,7 +106,7 @@
     node: &Rc<Node>,
     job: &Job,
     trace: &Trace,
-    patience: Patience,
+    patience: WaitPolicy,
     mut prompt: Prompt,
     mut tried: Vec<EndpointKey>,
 ) -> Result<(Answer, Slot), Refusal> {
--- a/crates/forward/src/holding.rs
+++ b/crates/forward/src/holding.rs
@@ -1,11 +1,11 @@
-//! Bytes that are held for callers and endpoints, on the account of this instance's [`Memory`](teaselshunt_routing::Memory).
+//! Bytes that are held for callers and endpoints, on the account of this instance's [`BodyMemory`](teaselshunt_routing::BodyMemory).
 
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Body;
-use teaselshunt_routing::{Full, Held};
+use teaselshunt_routing::{BodyKind, MemoryFull};
 
 use crate::node::Node;
 
@@ -15,20 +15,20 @@
     /// It broke off, or is not as it should be.
     Body(E),
     /// There is no room for so many bytes of it.
-    Full(Full, usize),
+    Full(MemoryFull, usize),
 }
 
 /// Room for bytes; dropping it gives it back.
 #[derive(Debug)]
 pub(crate) struct Holding {
     node: Rc<Node>,
-    held: Held,
+    held: BodyKind,
     bytes: u64,
 }
 
 impl Holding {
     /// Room for nothing yet.
-    pub(crate) fn new(node: &Rc<Node>, held: Held) -> Self {
+    pub(crate) fn new(node: &Rc<Node>, held: BodyKind) -> Self {
         Self { node: Rc::clone(node), held, bytes: 0 }
     }
 
@@ -36,9 +36,9 @@
     ///
     /// # Errors
     /// There is not enough; what was taken before stays taken.
-    pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), Full> {
+    pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), MemoryFull> {
         let bytes = bytes as u64;
-        self.node.state.borrow_mut().memory.take(bytes, self.held)?;
+        self.node.state.borrow_mut().memory.reserve(bytes, self.held)?;
         self.bytes += bytes;
         Ok(())
     }
@@ -64,6 +64,6 @@
 
 impl Drop for Holding {
     fn drop(&mut self) {
-        self.node.state.borrow_mut().memory.give_back(self.bytes);
+        self.node.state.borrow_mut().memory.release(self.bytes);
     }
 }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -20,8 +20,8 @@
 use slog::{Logger, info, warn};
 use teaselshunt_core::{Clock, ErrorKind, Fingerprint, Quarantine, Refusal};
 use teaselshunt_routing::{
-    Allowances, Budgets, EndpointKey, Endpoints, Held, Memory, Need, Outputs, Pace, Refused, Route, RouteSet,
-    Sends, Service, Stage, Verdict,
+    BodyKind, BodyMemory, Budgets, EndpointKey, Endpoints, Need, OutputEstimate, PrefillEstimate, Refusals,
+    RetryDetector, Route, RouteSet, Sends, Service, Stage, StepOutcome,
 };
 use teaselshunt_teams::{Quotas, Team};
 use tokio::sync::{Notify, watch};
@@ -58,19 +58,19 @@
     pub(crate) budgets: Budgets,
     pub(crate) rng: SmallRng,
     /// Pace of prefill by service.
-    pub(crate) paces: HashMap<Arc<str>, Pace>,
+    pub(crate) paces: HashMap<Arc<str>, PrefillEstimate>,
     /// Outputs of generations by service.
-    pub(crate) outputs: HashMap<Arc<str>, Outputs>,
+    pub(crate) outputs: HashMap<Arc<str>, OutputEstimate>,
     /// How long callers of each route wait in all.
-    pub(crate) allowances: Allowances,
+    pub(crate) allowances: RetryDetector,
     /// Refusals for want of what endpoints take.
-    pub(crate) refused: Refused,
+    pub(crate) refused: Refusals,
     /// Requests under which endpoints crash.
     pub(crate) quarantine: Quarantine,
     /// Limits of teams.
     pub(crate) quotas: Quotas<SocketAddr>,
     /// Bodies that are held for slow readers.
-    pub(crate) memory: Memory,
+    pub(crate) memory: BodyMemory,
     /// Whether the whole list was known once.
     pub(crate) whole: bool,
     /// When the store last answered about endpoints.
@@ -225,7 +225,7 @@
     pub(crate) fn grow(&mut self, tokens: u64) {
         let more = tokens.saturating_sub(self.tokens);
         if more > 0 {
-            self.node.state.borrow_mut().endpoints.grow(self.endpoint, more);
+            self.node.state.borrow_mut().endpoints.add_tokens(self.endpoint, more);
             self.tokens = tokens;
             self.node.changed.notify_one();
         }
@@ -238,7 +238,7 @@
         let endpoints = &mut self.node.state.borrow_mut().endpoints;
         endpoints.end(self.endpoint, self.tokens);
         if !self.sent.get() {
-            endpoints.unsend(now, self.endpoint);
+            endpoints.refund_rate(now, self.endpoint);
         }
         self.node.changed.notify_one();
     }
@@ -253,7 +253,7 @@
 
 impl Drop for Reading {
     fn drop(&mut self) {
-        self.node.state.borrow_mut().endpoints.end_read(self.endpoint);
+        self.node.state.borrow_mut().endpoints.end_local_prefill(self.endpoint);
         self.node.changed.notify_one();
     }
 }
@@ -307,14 +307,14 @@
     pub(crate) fn occupy(self: &Rc<Self>, endpoint: EndpointKey, tokens: u64) -> Slot {
         let (now, endpoints) = (self.now(), &mut self.state.borrow_mut().endpoints);
         endpoints.begin(now, endpoint, tokens);
-        endpoints.send(now, endpoint);
+        endpoints.charge_rate(now, endpoint);
         self.changed.notify_one();
         Slot { node: Rc::clone(self), endpoint, tokens, sent: Cell::new(false) }
     }
 
     /// A decode engine begins to read a prompt itself; others are told until the guard is dropped.
     pub(crate) fn read_at(self: &Rc<Self>, endpoint: EndpointKey) -> Reading {
-        self.state.borrow_mut().endpoints.begin_read(endpoint);
+        self.state.borrow_mut().endpoints.begin_local_prefill(endpoint);
         self.changed.notify_one();
         Reading { node: Rc::clone(self), endpoint }
     }
@@ -340,7 +340,7 @@
     pub(crate) fn expected_output(&self, job: &Job) -> u64 {
         let Some(hint) = job.meta.hint else { return job.meta.output };
         let state = self.state.borrow();
-        let expected = state.outputs.get(&job.service.name).map_or(hint, |outputs| outputs.expect(hint));
+        let expected = state.outputs.get(&job.service.name).map_or(hint, |outputs| outputs.predict(hint));
         expected.min(job.meta.output)
     }
 
@@ -353,14 +353,17 @@
 
     /// Tokens that so many events of a generation stand for, if that is known.
     pub(crate) fn made(&self, job: &Job, events: u32) -> Option<u64> {
-        self.state.borrow().outputs.get(&job.service.name)?.made(events)
+        self.state.borrow().outputs.get(&job.service.name)?.tokens_for_events(events)
     }
 
-    pub(crate) fn learn(&self, key: EndpointKey, verdict: Verdict) {
+    pub(crate) fn learn(&self, key: EndpointKey, verdict: StepOutcome) {
         let changed = self.state.borrow_mut().endpoints.learn(self.now(), key, verdict);
         if changed && let Some((_, id)) = self.locate(key) {
-            let state =
-                if matches!(verdict, Verdict::Failed | Verdict::Absent) { "paused" } else { "in_use" };
+            let state = if matches!(verdict, StepOutcome::Failed | StepOutcome::Unreachable) {
+                "paused"
+            } else {
+                "in_use"
+            };
             info!(self.log, "endpoint"; "endpoint" => &*id, "state" => state);
         }
     }
@@ -388,7 +391,7 @@
     /// Whether a generation may be sent once more, for its prompt or to run.
     pub(crate) fn may_go(&self, job: &Job, sends: &mut Sends) -> bool {
         let budgets = &mut self.state.borrow_mut().budgets;
-        sends.may_go(self.now(), job.route.attempts, &job.service.name, budgets)
+        sends.may_send(self.now(), job.route.attempts, &job.service.name, budgets)
     }
 
     /// Sends a request to an endpoint and checks the head of its answer.
@@ -423,11 +426,11 @@
             job.charge.unsend();
         }
         let verdict = match &outcome {
-            Ok(Answer { response, .. }) if response.status().is_server_error() => Verdict::Erred,
-            Ok(_) => Verdict::Answered(self.now().duration_since(begun)),
-            Err(StepFailure::Refused) => Verdict::Full,
-            Err(StepFailure::Unsent | StepFailure::Misdirected) => Verdict::Absent,
-            Err(StepFailure::Broken | StepFailure::TimedOut) => Verdict::Failed,
+            Ok(Answer { response, .. }) if response.status().is_server_error() => StepOutcome::ErrorResponse,
+            Ok(_) => StepOutcome::Answered(self.now().duration_since(begun)),
+            Err(StepFailure::Refused) => StepOutcome::Full,
+            Err(StepFailure::Unsent | StepFailure::Misdirected) => StepOutcome::Unreachable,
+            Err(StepFailure::Broken | StepFailure::TimedOut) => StepOutcome::Failed,
         };
         self.learn(key, verdict);
         self.metrics.step(step, outcome.as_ref().map_or_else(|f| f.text(), |_| "answered"));
@@ -477,7 +480,7 @@
         if answering.is_empty() || answering == &*id {
             return;
         }
-        self.state.borrow_mut().endpoints.retire(self.now(), key);
+        self.state.borrow_mut().endpoints.mark_ended(self.now(), key);
         info!(self.log, "endpoint"; "endpoint" => &*id, "state" => "replaced", "by" => answering);
     }
 
@@ -521,7 +524,7 @@
         connection: Connection,
         until: Instant,
     ) -> Result<(Bytes, Holding), Failure> {
-        let mut holding = Holding::new(self, Held::Answer);
+        let mut holding = Holding::new(self, BodyKind::Response);
         match tokio::time::timeout_at(until.into(), holding.collect(body)).await {
             Ok(Ok(whole)) => {
                 self.pool.put(connection);
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -12,7 +12,7 @@
 use futures_util::StreamExt;
 use hyper::StatusCode;
 use slog::info;
-use teaselshunt_routing::{Change, Life, Service, Stage, plan_changes};
+use teaselshunt_routing::{Incarnation, Service, Stage, StageChange, plan_stage_changes};
 
 use crate::node::{Node, Phase};
 use crate::protocol::Order;
@@ -60,7 +60,7 @@
         let mut orders = Vec::new();
         for change in wanted(&node, &ordered, serving) {
             // An engine is ordered once in its life: an order that got no answer may have been accepted.
-            if ordered.insert(change.life.clone(), change.stage).is_none() {
+            if ordered.insert(change.incarnation.clone(), change.stage).is_none() {
                 fence += 1;
                 orders.push((change, fence));
             }
@@ -73,9 +73,9 @@
 }
 
 /// The stage that each start of an engine was ordered to take.
-type Ordered = HashMap<Life, Stage>;
+type Ordered = HashMap<Incarnation, Stage>;
 
-fn wanted(node: &Node, ordered: &Ordered, serving: bool) -> Vec<Change> {
+fn wanted(node: &Node, ordered: &Ordered, serving: bool) -> Vec<StageChange> {
     let state = node.state.borrow();
     let Some(routes) = &state.routes else { return Vec::new() };
     let engines = routes.services().filter(|s| s.engine.is_some());
@@ -83,12 +83,12 @@
     let plan = |service: &Service| {
         let open = state.endpoints.open(now, &service.name);
         let memory = service.engine.map_or(0, |e| e.tokens);
-        plan_changes(open, |life| ordered.get(life).copied(), serving, memory)
+        plan_stage_changes(open, |life| ordered.get(life).copied(), serving, memory)
     };
     engines.flat_map(|service| plan(service)).collect()
 }
 
-async fn give(node: &Node, change: &Change, fence: u64) {
+async fn give(node: &Node, change: &StageChange, fence: u64) {
     let address = {
         let state = node.state.borrow();
         let Some(endpoint) = state.endpoints.by_id(&change.id) else { return };
--- a/crates/forward/src/peers.rs
+++ b/crates/forward/src/peers.rs
@@ -126,7 +126,7 @@
     };
     let mut buffer = vec![0; LARGEST];
     let mut next = gossip.node.now();
-    let mut pause = gossip.peers.pause(false);
+    let mut pause = gossip.peers.round_pause(false);
     loop {
         let node = Rc::clone(&gossip.node);
         tokio::select! {
@@ -138,8 +138,8 @@
             Some(telling) = tellings.recv() => gossip.tell(&socket, telling).await,
             () = wait(&node, next, pause) => {
                 let urgent = gossip.send(&socket).await;
-                pause = gossip.peers.pause(urgent);
-                next = node.now() + gossip.peers.pace();
+                pause = gossip.peers.round_pause(urgent);
+                next = node.now() + gossip.peers.min_interval();
             }
         }
     }
@@ -190,14 +190,14 @@
     fn receive_digest(&mut self, from: SocketAddr, domain: u32, digest: Digest, tail: Tail) {
         let now = self.node.now();
         let next = Duration::from_millis(u64::from(tail.next));
-        if self.peers.heard(now, from, domain, next) {
+        if self.peers.observe(now, from, domain, next) {
             // Whoever starts waits to hear who there is.
             self.node.changed.notify_one();
             info!(self.node.log, "peer"; "address" => %from, "state" => "known", "peers" => self.peers.len());
         }
         for peer in tail.named {
             if peer != self.own && peer.port() == self.own.port() {
-                self.peers.named(now, peer);
+                self.peers.add_reported(now, peer);
             }
         }
         let in_flight = digest.in_flight.into_iter().map(|(tag, tokens)| (EngineTag(tag), tokens)).collect();
@@ -217,15 +217,15 @@
         }
         let ledger = state.endpoints.ledger();
         for tag in digest.suspects {
-            ledger.suspect(now, from, EngineTag(tag));
+            ledger.report_suspect(now, from, EngineTag(tag));
         }
         for tag in digest.reads {
-            ledger.reads(now, EngineTag(tag));
+            ledger.report_local_prefill(now, EngineTag(tag));
         }
         if ledger.update(now, from, (digest.life, digest.sequence), in_flight) {
             self.newcomer = Some(now);
         }
-        ledger.expects(from, next);
+        ledger.set_gossip_interval(from, next);
         drop(state);
         if is_new {
             rates::told(&self.node, from, digest.life, digest.rates);
@@ -247,7 +247,7 @@
     /// Tells those whose turn it is. Says whether some of it is told for seconds only.
     async fn send(&mut self, socket: &UdpSocket) -> bool {
         let now = self.node.now();
-        for address in self.peers.forget(now) {
+        for address in self.peers.remove_unresponsive(now) {
             info!(self.node.log, "peer"; "address" => %address, "state" => "forgotten");
         }
         self.node.peers.set(self.peers.len());
@@ -257,10 +257,10 @@
             state.budgets.share_among(instances);
             let rates = state.endpoints.rates();
             if !rates.is_empty() {
-                rates.share_among(now, instances, self.peers.part(now));
+                rates.share_among(now, instances, self.peers.reachable_share(now));
             }
         }
-        self.catalog.peers_are(self.own, &self.peers.near(now).collect());
+        self.catalog.peers_are(self.own, &self.peers.responsive_in_domain(now).collect());
         self.sequence += 1;
         let mut targets = self.peers.due(now);
         let newcomers = self.newcomer.is_some_and(|at| now.duration_since(at) < NEWCOMER);
@@ -270,7 +270,7 @@
             let state = &mut *self.node.state.borrow_mut();
             let in_flight = state.endpoints.in_flight().into_iter().map(|(tag, t)| (tag.0, t)).collect();
             let suspects = state.endpoints.suspects(now).into_iter().map(|tag| tag.0).collect();
-            let reads = state.endpoints.reading().into_iter().map(|tag| tag.0).collect();
+            let reads = state.endpoints.local_prefills().into_iter().map(|tag| tag.0).collect();
             let news = state.quarantine.news(now, newcomers);
             let spending = state.quotas.spending(uptime);
             let instances = state.quotas.remembered();
@@ -305,7 +305,7 @@
 
     /// Tells peers of the same failure domain what the store answered.
     async fn tell(&self, socket: &UdpSocket, telling: Telling) {
-        let targets = self.peers.near(self.node.now()).collect();
+        let targets = self.peers.responsive_in_domain(self.node.now()).collect();
         self.send_to(socket, targets, Content::Telling(telling)).await;
     }
 
@@ -328,8 +328,8 @@
     /// What only the peers of a failure domain are told.
     fn tail(&self, domain: Option<u32>) -> Tail {
         let rng = &mut self.node.state.borrow_mut().rng;
-        let named = self.peers.to_name(self.node.now(), domain, rng);
-        let next = u32::try_from(self.peers.turn(domain).as_millis()).unwrap_or(u32::MAX);
+        let named = self.peers.sample_for(self.node.now(), domain, rng);
+        let next = u32::try_from(self.peers.gossip_interval(domain).as_millis()).unwrap_or(u32::MAX);
         Tail { named, next }
     }
 }
--- a/crates/forward/src/rates.rs
+++ b/crates/forward/src/rates.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use teaselshunt_core::{ErrorKind, Refusal};
-use teaselshunt_routing::{EndpointKey, EngineTag, RateChange, RateNews, RateWord, Stage};
+use teaselshunt_routing::{EndpointKey, EngineTag, RateChange, RateObservation, RateReport, Stage};
 
 use crate::node::{Job, Node};
 use crate::protocol::NamedRate;
@@ -37,10 +37,10 @@
     age: u32,
 }
 
-impl From<RateNews> for RateEntry {
-    fn from(news: RateNews) -> Self {
-        let RateNews { endpoint: EngineTag(endpoint), word, total, recent } = news;
-        let word = word.map(|RateWord { rate, age }| Word {
+impl From<RateReport> for RateEntry {
+    fn from(news: RateReport) -> Self {
+        let RateReport { endpoint: EngineTag(endpoint), observation, total, recent } = news;
+        let word = observation.map(|RateObservation { rate, age }| Word {
             rate: rate.map(|rate| rate as f32),
             age: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
         });
@@ -48,35 +48,35 @@
     }
 }
 
-impl From<RateEntry> for RateNews {
+impl From<RateEntry> for RateReport {
     fn from(entry: RateEntry) -> Self {
         let RateEntry { endpoint, word, total, recent } = entry;
-        let word = word.map(|Word { rate, age }| RateWord {
+        let observation = word.map(|Word { rate, age }| RateObservation {
             rate: rate.map(f64::from).filter(|rate| *rate >= 0.0),
             age: Duration::from_millis(u64::from(age)),
         });
-        Self { endpoint: EngineTag(endpoint), word, total, recent }
+        Self { endpoint: EngineTag(endpoint), observation, total, recent }
     }
 }
 
 /// What others are to be told now.
 pub(crate) fn news(node: &Node) -> Vec<RateEntry> {
-    let news = node.state.borrow_mut().endpoints.rates().news(node.now());
+    let news = node.state.borrow_mut().endpoints.rates().reports(node.now());
     news.into_iter().map(RateEntry::from).collect()
 }
 
 /// An instance, in this life of it, told this.
 pub(crate) fn told(node: &Node, from: SocketAddr, life: u64, entries: Vec<RateEntry>) {
     let now = node.now();
-    for news in entries.into_iter().map(RateNews::from) {
+    for news in entries.into_iter().map(RateReport::from) {
         let change = {
             let beliefs = &mut *node.state.borrow_mut();
             let rates = beliefs.endpoints.rates();
-            let change = news.word.and_then(|word| rates.told_word(now, news.endpoint, word));
-            rates.told_sends(now, from, life, news);
+            let change = news.observation.and_then(|word| rates.merge_observation(now, news.endpoint, word));
+            rates.merge_sends(now, from, life, news);
             change
         };
-        log(node, news.endpoint, change, "peer", news.word.map_or(Duration::ZERO, |word| word.age));
+        log(node, news.endpoint, change, "peer", news.observation.map_or(Duration::ZERO, |word| word.age));
     }
 }
 
@@ -94,7 +94,7 @@
     let (tag, change) = {
         let endpoints = &mut node.state.borrow_mut().endpoints;
         let Some(tag) = endpoints.tag(key) else { return };
-        (tag, endpoints.rates().answered(now, tag, rate))
+        (tag, endpoints.rates().observe_response(now, tag, rate))
     };
     log(node, tag, change, "answer", Duration::ZERO);
 }
@@ -143,8 +143,8 @@
 fn pressure(node: &Node, job: &Job, stage: Option<Stage>) -> Option<(f64, bool)> {
     let beliefs = node.state.borrow();
     let (now, service) = (node.now(), &job.service.name);
-    let rate = beliefs.endpoints.limited_to(now, service, stage)?;
-    Some((rate, beliefs.refused.is_pressed(now, service)))
+    let rate = beliefs.endpoints.total_rate(now, service, stage)?;
+    Some((rate, beliefs.refused.is_overloaded(now, service)))
 }
 
 /// Whether no request can be served for now because all endpoints of a stage name rates, and others wait in vain.
@@ -157,7 +157,7 @@
     let (rate, _) = pressure(node, job, stage)?;
     let service = &job.service.name;
     let beliefs = &mut *node.state.borrow_mut();
-    let longest = beliefs.refused.refuse(node.now(), service, rate, node.peers.get() + 1);
+    let longest = beliefs.refused.record(node.now(), service, rate, node.peers.get() + 1);
     let away = longest.mul_f64(beliefs.rng.random_range(0.0..1.0));
     node.metrics.limit_refusals.with_label_values(&[service]).inc();
     trace.step("rate", service, &format!("limited_to:{rate:.1},back_within:{:.1}s", longest.as_secs_f64()));
--- a/crates/forward/src/requests.rs
+++ b/crates/forward/src/requests.rs
@@ -12,7 +12,7 @@
 use hyper::header::{AUTHORIZATION, CONNECTION, HOST, HeaderValue};
 use hyper::{Request, Response};
 use teaselshunt_core::{ErrorKind, Refusal};
-use teaselshunt_routing::{Held, Repeat, Route, RouteSet, Stage};
+use teaselshunt_routing::{BodyKind, Repeat, Route, RouteSet, Stage};
 
 use crate::admission::{charge, identify};
 use crate::body::{AnswerBody, Unread};
@@ -62,7 +62,7 @@
     let routes = node.state.borrow().routes.clone();
     let (mut head, body) = request.into_parts();
     let key = node.protocol.take_key(&mut head.headers).map(|key| key.digest());
-    let mut holding = Holding::new(node, Held::Request);
+    let mut holding = Holding::new(node, BodyKind::Request);
     let body = read_body(body, routes.as_deref(), &mut holding).await?;
     let routes = routes.ok_or(Refusal::later(ErrorKind::NotReady, ELSEWHERE))?;
     let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).or_else(|| head.uri.host());
@@ -80,12 +80,12 @@
     let (service, returns) = {
         let state = &mut *node.state.borrow_mut();
         let deadline = meta.deadline.filter(|_| !short);
-        let returns = deadline.is_some_and(|d| state.allowances.returns(arrived, &route.name, d));
+        let returns = deadline.is_some_and(|d| state.allowances.is_retry(arrived, &route.name, d));
         trace.returns(returns);
-        let name = route.draw(&mut state.rng).cloned();
+        let name = route.pick_service(&mut state.rng).cloned();
         let service = name.and_then(|name| routes.service(&name).cloned());
         let service = service.ok_or(Refusal::new(ErrorKind::UnknownService))?;
-        state.budgets.request(arrived, &service.name);
+        state.budgets.count_request(arrived, &service.name);
         (service, returns)
     };
     let until = arrived + meta.deadline.unwrap_or(DEADLINE).min(route.timeout);
--- a/crates/forward/src/rooms.rs
+++ b/crates/forward/src/rooms.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use rand::Rng;
 use teaselshunt_core::{ErrorKind, Refusal};
-use teaselshunt_routing::{EndpointKey, Looks, Need, Patience, Stage, Verdict, way_back};
+use teaselshunt_routing::{Backoff, EndpointKey, Need, Stage, StepOutcome, WaitPolicy, retry_delay};
 
 use crate::calls::{CALL, tidy};
 use crate::node::{Job, Node, Phase, Slot};
@@ -56,7 +56,7 @@
 /// A search for room at a decode engine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Search<'a> {
-    pub(crate) patience: Patience,
+    pub(crate) patience: WaitPolicy,
     pub(crate) prompt: PromptState,
     /// Engines not to ask again.
     pub(crate) tried: &'a [EndpointKey],
@@ -70,9 +70,9 @@
     search: Search<'_>,
 ) -> Result<Room, Refusal> {
     let tokens = job.meta.prompt + node.expected_output(job);
-    let Patience { until, late } = search.patience;
+    let WaitPolicy { until, late } = search.patience;
     let mut want = Want::Open;
-    let mut looks = Looks::new(late);
+    let mut looks = Backoff::new(late);
     let mut asked = 0_u32;
     loop {
         let now = node.now();
@@ -115,8 +115,8 @@
             }
             Err((verdict, outcome)) => {
                 node.learn(key, verdict);
-                if verdict == Verdict::Full {
-                    pause(node, looks.refused()).await;
+                if verdict == StepOutcome::Full {
+                    pause(node, looks.after_refusal()).await;
                 } else {
                     trace.step("reserve", &node.name(key), outcome);
                     // An engine that is gone refuses at once; where no other is left it would be asked without end.
@@ -131,7 +131,7 @@
         Want::Open => Err(Refusal::later(ErrorKind::NoEndpoint, NO_ENDPOINT)),
         Want::Room | Want::Prefill => {
             let left = job.until.saturating_duration_since(node.now());
-            let full = Refusal::later(ErrorKind::Overloaded, way_back(left));
+            let full = Refusal::later(ErrorKind::Overloaded, retry_delay(left));
             Err(rates::refusal(node, job, trace, Some(want.stage())).unwrap_or(full))
         }
     }
@@ -149,11 +149,19 @@
 /// Chooses the decode engine to ask. For a late request there must be room for another one like it besides.
 fn choose(node: &Node, job: &Job, search: Search<'_>, tokens: u64) -> Option<EndpointKey> {
     let Search { patience, prompt, tried } = search;
-    let reads = prompt == PromptState::ByDecode;
+    let local_prefill = prompt == PromptState::ByDecode;
     let limit = job.service.engine.map(|e| e.tokens);
-    let spare = patience.spare(tokens);
+    let headroom = patience.headroom(tokens);
     let stage = Some(Stage::Decode);
-    node.choose_for(Need { stage, tried, tokens, limit, spare, reads, ..node.need(&job.service.name) })
+    node.choose_for(Need {
+        stage,
+        tried,
+        tokens,
+        limit,
+        headroom,
+        local_prefill,
+        ..node.need(&job.service.name)
+    })
 }
 
 /// Asks one engine for room; gives the id of the reservation, or what the failure says of the engine and its name.
@@ -163,7 +171,7 @@
     key: EndpointKey,
     (address, id): (SocketAddr, &str),
     tokens: u64,
-) -> Result<String, (Verdict, &'static str)> {
+) -> Result<String, (StepOutcome, &'static str)> {
     let ttl = job.service.engine.map_or(CALL, |e| e.hold);
     let until = (node.now() + CALL).min(job.until);
     let answer = node.call_in_full(address, node.protocol.reserve(id, tokens, ttl), until).await;
@@ -183,13 +191,15 @@
 }
 
 /// What a call that brought no room says of its engine, and its name for logs.
-fn judge(answer: &Result<(StatusCode, Bytes), Failure>) -> (Verdict, &'static str) {
+fn judge(answer: &Result<(StatusCode, Bytes), Failure>) -> (StepOutcome, &'static str) {
     match answer {
-        Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _)) => (Verdict::Full, "full"),
-        Ok((StatusCode::MISDIRECTED_REQUEST, _)) => (Verdict::Absent, "misdirected"),
-        Ok(_) => (Verdict::Failed, "failed"),
-        Err(Failure::Unsent) => (Verdict::Absent, Failure::Unsent.text()),
-        Err(failure) => (Verdict::Failed, failure.text()),
+        Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _)) => {
+            (StepOutcome::Full, "full")
+        }
+        Ok((StatusCode::MISDIRECTED_REQUEST, _)) => (StepOutcome::Unreachable, "misdirected"),
+        Ok(_) => (StepOutcome::Failed, "failed"),
+        Err(Failure::Unsent) => (StepOutcome::Unreachable, Failure::Unsent.text()),
+        Err(failure) => (StepOutcome::Failed, failure.text()),
     }
 }
 
@@ -230,16 +240,16 @@
 ///
 /// Prompts that are sent all the same would make those behind them late as well, and a prefill that ends too late is
 /// lost.
-fn in_time(node: &Node, job: &Job, patience: Patience) -> bool {
+fn in_time(node: &Node, job: &Job, patience: WaitPolicy) -> bool {
     let prompt = job.meta.prompt;
     let chosen = node.choose_prefill(&job.service.name, &[], prompt);
     let state = node.state.borrow();
     let Some(key) = chosen else {
         // Without any prefill engine the decode engine reads the prompt; for ones that name rates it is worth waiting.
-        return state.endpoints.limited_to(node.now(), &job.service.name, Some(Stage::Prefill)).is_none();
+        return state.endpoints.total_rate(node.now(), &job.service.name, Some(Stage::Prefill)).is_none();
     };
     let pace = state.paces.get(&job.service.name).copied().unwrap_or_default();
-    pace.in_time(state.endpoints.load(key), prompt, patience.prefill(&job.route))
+    pace.in_time(state.endpoints.load(key), prompt, patience.prefill_limit(&job.route))
 }
 
 /// Whether any decode engine takes new work at all, full or not.
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use teaselshunt_routing::Terms;
+use teaselshunt_routing::BudgetTerms;
 
 /// Settings of one instance.
 #[derive(Debug, Clone)]
@@ -37,7 +37,7 @@
     /// Time within which a leaving endpoint must get nothing new.
     pub drain: Duration,
     /// Terms for repeats.
-    pub repeats: Terms,
+    pub repeats: BudgetTerms,
     /// Memory that the process may take, in bytes.
     pub memory: u64,
     /// Failure domains of the deployment; 0 where nothing is said.
--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -12,7 +12,7 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use slog::info;
-use teaselshunt_routing::{Held, Repeat, Verdict};
+use teaselshunt_routing::{BodyKind, Repeat, StepOutcome};
 
 use crate::body::{AnswerBody, Pieces, relay as body_relay};
 use crate::crashes;
@@ -101,7 +101,7 @@
                 return trace.end("caller_gone", status);
             }
             End::TimedOut => return trace.end("deadline_passed", status),
-            End::Broken => node.learn(endpoint, Verdict::Failed),
+            End::Broken => node.learn(endpoint, StepOutcome::Failed),
         }
         trace.step("stream", &node.name(endpoint), "broken");
         crashes::check(&node, &source.job, &trace, endpoint, begun);
@@ -164,7 +164,7 @@
             continue;
         }
         // A caller that reads slowly holds its engine no longer than it waits for.
-        let sent = pieces.send(data, Holding::new(node, Held::Answer));
+        let sent = pieces.send(data, Holding::new(node, BodyKind::Response));
         match tokio::time::timeout_at(job.until.into(), sent).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return End::CallerGone,
--- a/crates/forward/src/supervisor.rs
+++ b/crates/forward/src/supervisor.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use slog::{error, info, warn};
 use teaselshunt_core::{Clock, Quarantine, SystemClock};
-use teaselshunt_routing::{Allowances, Budgets, Endpoints, Memory, Refused, tag};
+use teaselshunt_routing::{BodyMemory, Budgets, Endpoints, Refusals, RetryDetector, tag};
 use teaselshunt_teams::{Quotas, Start, Way};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -99,11 +99,11 @@
             rng: SmallRng::from_os_rng(),
             paces: HashMap::new(),
             outputs: HashMap::new(),
-            allowances: Allowances::default(),
-            refused: Refused::default(),
+            allowances: RetryDetector::default(),
+            refused: Refusals::default(),
             quarantine: Quarantine::default(),
             quotas,
-            memory: Memory::new((settings.memory as f64 * HELD_PART) as u64),
+            memory: BodyMemory::new((settings.memory as f64 * HELD_PART) as u64),
             whole: false,
             listed: None,
         }),
@@ -170,7 +170,7 @@
         node.state.borrow_mut().quotas.tick(node.clock.uptime());
         node.state.borrow_mut().endpoints.expire_rates(node.now());
         node.metrics.limited.set(node.state.borrow_mut().endpoints.rates().len() as i64);
-        let gone = node.state.borrow_mut().endpoints.expire(node.now());
+        let gone = node.state.borrow_mut().endpoints.remove_unconfirmed(node.now());
         for id in gone {
             info!(node.log, "endpoint"; "endpoint" => &*id, "state" => "gone");
         }
@@ -181,7 +181,7 @@
 fn idle_share(node: &Node) -> Option<usize> {
     let state = node.state.borrow();
     let instances = node.peers.get() + 1;
-    state.routes.as_ref()?.services().map(|service| service.idle_share(instances)).min()
+    state.routes.as_ref()?.services().map(|service| service.max_idle_connections(instances)).min()
 }
 
 /// Reads the settings again on request. Addresses and names are fixed for the life of a process, so that a change
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -12,7 +12,7 @@
 
 /// Terms of the budget.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct BudgetTerms {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats besides, over all instances.
@@ -39,7 +39,7 @@
 /// Budgets of all services, as one instance keeps them.
 #[derive(Debug)]
 pub struct Budgets {
-    terms: Terms,
+    terms: BudgetTerms,
     reserve: f64,
     /// Where in a unit this instance rounds up, drawn once from 0 to 1.
     draw: f64,
@@ -48,7 +48,7 @@
 
 impl Budgets {
     /// Budgets under the terms given, of an instance that has heard no other yet; `draw` is random, from 0 to 1.
-    pub fn new(terms: Terms, draw: f64) -> Self {
+    pub fn new(terms: BudgetTerms, draw: f64) -> Self {
         let reserve = (terms.slack * RESERVE_SHARE).clamp(1.0, RESERVE_MAX);
         Self { terms, reserve, draw, accounts: HashMap::new() }
     }
@@ -60,7 +60,7 @@
     }
 
     /// Counts a caller's request to a service.
-    pub fn request(&mut self, now: Instant, service: &Arc<str>) {
+    pub fn count_request(&mut self, now: Instant, service: &Arc<str>) {
         let account = self.accounts.entry(Arc::clone(service)).or_default();
         account.requests.push_back(now);
         trim(&mut account.requests, now, self.terms.window);
--- a/crates/routing/src/changes.rs
+++ b/crates/routing/src/changes.rs
@@ -8,20 +8,20 @@
 
 /// Ids whose entries were written or removed, by the revision up to which that is known.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct RecentChanges {
     /// All changes after this revision are remembered; `None` before a whole list was known.
     floor: Option<u64>,
     log: VecDeque<(u64, Arc<str>)>,
 }
 
-impl Changes {
+impl RecentChanges {
     /// A whole list is known as of a revision. If it is the first one, what changed before is not known.
-    pub fn begin(&mut self, revision: u64) {
+    pub fn start_at(&mut self, revision: u64) {
         self.floor = self.floor.or(Some(revision));
     }
 
     /// An entry changed, at this revision or shortly before it.
-    pub fn note(&mut self, revision: u64, id: Arc<str>) {
+    pub fn record(&mut self, revision: u64, id: Arc<str>) {
         if self.floor.is_none() {
             return;
         }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -60,29 +60,29 @@
 
 /// One start of an endpoint. What was believed, ordered or kept at one start says nothing of the next.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct Incarnation {
     id: Arc<str>,
     born: Option<SystemTime>,
 }
 
 impl Endpoint {
     /// Which start of the endpoint this is.
-    pub fn life(&self) -> Life {
-        Life { id: Arc::clone(&self.id), born: self.born }
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { id: Arc::clone(&self.id), born: self.born }
     }
 }
 
 /// How a step at an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum StepOutcome {
     /// It answered, after this time.
     Answered(Duration),
     /// It answered with a failure of its own.
-    Erred,
+    ErrorResponse,
     /// It has no room now.
     Full,
     /// It broke off, was silent, or answered nonsense.
     Failed,
     /// It could not be reached, or another one has its address.
-    Absent,
+    Unreachable,
 }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -5,7 +5,7 @@
 //! with good health answers and work with bad ones, while results do not lie.
 //!
 //! Invariant: an endpoint that the list calls leaving or gone is never chosen, but for one exception that has a
-//! time limit ([`Endpoints::doubt`]).
+//! time limit ([`Endpoints::mark_unconfirmed`]).
 
 mod limited;
 
@@ -18,9 +18,9 @@
 use slotmap::SlotMap;
 
 use self::limited::{Pressure, Sample};
-use crate::belief::Belief;
-use crate::departed::Departed;
-use crate::{Endpoint, EndpointKey, EndpointState, EngineTag, Ledger, Rates, Stage, Verdict};
+use crate::health_estimate::Belief;
+use crate::removed::Removed;
+use crate::{Endpoint, EndpointKey, EndpointState, EngineTag, Ledger, Rates, Stage, StepOutcome};
 
 /// What another failure domain adds to an endpoint's expected latency: two crossings and their price.
 const DISTANCE: f64 = 0.006;
@@ -109,14 +109,14 @@
     /// Most tokens that an engine may have in flight; none for no limit.
     pub limit: Option<u64>,
     /// Tokens of the limit to leave to others.
-    pub spare: u64,
+    pub headroom: u64,
     /// Whether a decode engine is to read the prompt itself.
     ///
     /// All streams at that engine stand still meanwhile, for about 60 ms a thousand tokens. Two reads at a time pause them
     /// for longer than callers aim for, and make some nine answers late for the sake of one. So an engine reads one at a
     /// time, as far as has been heard, and so does an instance: several that take up the streams of a crashed engine in the
     /// same moment have not heard of each other yet.
-    pub reads: bool,
+    pub local_prefill: bool,
     /// Whether it is for a try beside one that is under way. Endpoints that name a rate are spared these: what they take is
     /// short, and the first try is still likely to be answered.
     pub hedge: bool,
@@ -132,8 +132,8 @@
             tried: &[],
             tokens: 0,
             limit: None,
-            spare: 0,
-            reads: false,
+            headroom: 0,
+            local_prefill: false,
             hedge: false,
         }
     }
@@ -144,13 +144,13 @@
 
 /// What an entry of the list says beside what was known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listing {
+pub enum UpsertOutcome {
     /// A start of an endpoint that was not known.
     Started,
     /// News of a known start.
     Changed,
     /// Nothing.
-    Known,
+    Unchanged,
     /// Something about a start that has ended.
     Outdated,
     /// It is not the endpoint's own; the endpoint is not used until it writes again.
@@ -165,7 +165,7 @@
     /// The endpoint that was listed last at each address.
     by_address: HashMap<SocketAddr, EndpointKey>,
     services: HashMap<Arc<str>, Vec<EndpointKey>>,
-    departed: Departed,
+    departed: Removed,
     /// Until when entries of endpoints that had gone may be ones of a copy of the list.
     copied: Option<Instant>,
     /// Until when endpoints are in use, or not, by more than what the list says.
@@ -181,15 +181,15 @@
     /// Within one start, an endpoint that has said that it leaves does not come back, not after its entry has gone either: an
     /// old entry that arrives late, or stands in a copy of the list, would otherwise send work to it again. A later start under the same id begins with nothing: its key is another one, so that
     /// what was begun at the former start cannot go on there by mistake, and entries of the former start are passed over.
-    pub fn upsert(&mut self, mut endpoint: Endpoint) -> Listing {
-        let left = self.departed.left(&endpoint.life());
+    pub fn upsert(&mut self, mut endpoint: Endpoint) -> UpsertOutcome {
+        let left = self.departed.left(&endpoint.incarnation());
         // Without a time of birth it may be another start, which an entry of a copy is told from by its age only.
         if left == Some(true) && endpoint.born.is_some() {
             endpoint.state = EndpointState::Leaving;
         }
         let Some(&key) = self.by_id.get(&endpoint.id) else {
             self.insert(endpoint, left.is_some());
-            return Listing::Started;
+            return UpsertOutcome::Started;
         };
         let entry = &mut self.arena[key];
         let known = &entry.endpoint;
@@ -197,12 +197,12 @@
             (Some(former), Some(later)) if former < later => {
                 self.remove(&endpoint.id);
                 self.insert(endpoint, left.is_some());
-                return Listing::Started;
+                return UpsertOutcome::Started;
             }
-            (Some(later), Some(former)) if former < later => return Listing::Outdated,
+            (Some(later), Some(former)) if former < later => return UpsertOutcome::Outdated,
             (Some(_), None) => {
                 entry.withdrawn = true;
-                return Listing::Foreign;
+                return UpsertOutcome::Foreign;
             }
             (Some(_), Some(_)) | (None, _) => {}
         }
@@ -212,14 +212,14 @@
         if known.service != endpoint.service || known.address != endpoint.address {
             self.remove(&endpoint.id);
             self.insert(endpoint, false);
-            return Listing::Changed;
+            return UpsertOutcome::Changed;
         }
         let changed = entry.withdrawn || *known != endpoint;
         entry.doubted = None;
         entry.withdrawn = false;
         entry.tag = EngineTag::of(&endpoint.id, endpoint.born);
         entry.endpoint = endpoint;
-        if changed { Listing::Changed } else { Listing::Known }
+        if changed { UpsertOutcome::Changed } else { UpsertOutcome::Unchanged }
     }
 
     /// Lists a start of an endpoint. One that `returns` was listed before and had gone: its entry lapsed and is back, or is
@@ -246,14 +246,14 @@
     ///
     /// They were seen to go, and nothing new may reach them. One that stands in the list longer than an entry outlives its
     /// endpoint is alive, and is used from `until` on.
-    pub fn recall(&mut self, until: Instant) {
+    pub fn note_restore(&mut self, until: Instant) {
         self.copied = Some(until);
         self.uncertain = self.uncertain.max(Some(until));
     }
 
     /// The entry under an id was overwritten with something that names no endpoint. Nothing new goes there until the
     /// endpoint writes its entry again. Says whether it was in the list.
-    pub fn withdraw(&mut self, id: &str) -> bool {
+    pub fn invalidate(&mut self, id: &str) -> bool {
         let Some(&key) = self.by_id.get(id) else { return false };
         self.arena[key].withdrawn = true;
         true
@@ -269,14 +269,14 @@
         if self.by_address.get(&entry.endpoint.address) == Some(&key) {
             self.by_address.remove(&entry.endpoint.address);
         }
-        self.rates.forget(entry.tag);
+        self.rates.remove(entry.tag);
         let leaving = entry.endpoint.state == EndpointState::Leaving;
-        self.departed.insert(entry.endpoint.life(), leaving);
+        self.departed.insert(entry.endpoint.incarnation(), leaving);
         true
     }
 
     /// An endpoint has ended, whatever the list says: another one has its address. It does not come back.
-    pub fn retire(&mut self, now: Instant, key: EndpointKey) {
+    pub fn mark_ended(&mut self, now: Instant, key: EndpointKey) {
         if let Some(entry) = self.arena.get_mut(key) {
             entry.belief.retire(now);
             entry.endpoint.state = EndpointState::Leaving;
@@ -288,7 +288,7 @@
     ///
     /// Entries lapse while the platform's store is away. Dropping all of them at its return would leave callers
     /// without any endpoint for the seconds that live ones need to register again.
-    pub fn doubt(&mut self, id: &str, until: Instant) {
+    pub fn mark_unconfirmed(&mut self, id: &str, until: Instant) {
         let Some(&key) = self.by_id.get(id) else { return };
         let entry = &mut self.arena[key];
         if entry.endpoint.state == EndpointState::Leaving {
@@ -300,7 +300,7 @@
     }
 
     /// Forgets doubted endpoints whose time is over, and names them.
-    pub fn expire(&mut self, now: Instant) -> Vec<Arc<str>> {
+    pub fn remove_unconfirmed(&mut self, now: Instant) -> Vec<Arc<str>> {
         let over = |e: &&Entry| e.doubted.is_some_and(|until| now >= until);
         let ids: Vec<_> = self.arena.values().filter(over).map(|e| Arc::clone(&e.endpoint.id)).collect();
         for id in &ids {
@@ -310,12 +310,12 @@
     }
 
     /// Ids that are known but not among `present`.
-    pub fn absent(&self, present: &HashSet<Arc<str>>) -> Vec<Arc<str>> {
+    pub fn missing_from(&self, present: &HashSet<Arc<str>>) -> Vec<Arc<str>> {
         self.by_id.keys().filter(|id| !present.contains(*id)).cloned().collect()
     }
 
     /// Whether the list alone says which endpoints are in use, so that another instance can go by it.
-    pub fn is_plain(&self, now: Instant) -> bool {
+    pub fn all_confirmed(&self, now: Instant) -> bool {
         self.uncertain.is_none_or(|until| now >= until)
     }
 
@@ -394,28 +394,28 @@
     }
 
     /// A request is about to go to an endpoint.
-    pub fn send(&mut self, now: Instant, key: EndpointKey) {
+    pub fn charge_rate(&mut self, now: Instant, key: EndpointKey) {
         if let Some(tag) = self.tag(key) {
-            self.rates.take(now, tag);
+            self.rates.charge(now, tag);
         }
     }
 
     /// A request that was about to go to an endpoint has not reached it.
-    pub fn unsend(&mut self, now: Instant, key: EndpointKey) {
+    pub fn refund_rate(&mut self, now: Instant, key: EndpointKey) {
         if let Some(tag) = self.tag(key) {
-            self.rates.give_back(now, tag);
+            self.rates.refund(now, tag);
         }
     }
 
     /// A decode engine begins to read a prompt itself.
-    pub fn begin_read(&mut self, key: EndpointKey) {
+    pub fn begin_local_prefill(&mut self, key: EndpointKey) {
         if let Some(entry) = self.arena.get_mut(key) {
             entry.reads += 1;
         }
     }
 
     /// It has read it, or has given up.
-    pub fn end_read(&mut self, key: EndpointKey) {
+    pub fn end_local_prefill(&mut self, key: EndpointKey) {
         if let Some(entry) = self.arena.get_mut(key) {
             entry.reads = entry.reads.saturating_sub(1);
         }
@@ -427,12 +427,12 @@
     }
 
     /// Decode engines that read a prompt of this instance now.
-    pub fn reading(&self) -> Vec<EngineTag> {
+    pub fn local_prefills(&self) -> Vec<EngineTag> {
         self.arena.values().filter(|e| e.reads > 0).map(|e| e.tag).collect()
     }
 
     /// Work in progress at an endpoint takes so many tokens more than it began with.
-    pub fn grow(&mut self, key: EndpointKey, tokens: u64) {
+    pub fn add_tokens(&mut self, key: EndpointKey, tokens: u64) {
         if let Some(entry) = self.arena.get_mut(key) {
             entry.tokens += tokens;
         }
@@ -450,7 +450,7 @@
     }
 
     /// Learns from how a step ended. Says whether the endpoint's being in use has changed.
-    pub fn learn(&mut self, now: Instant, key: EndpointKey, verdict: Verdict) -> bool {
+    pub fn learn(&mut self, now: Instant, key: EndpointKey, verdict: StepOutcome) -> bool {
         let Some(entry) = self.arena.get_mut(key) else { return false };
         let decodes = entry.endpoint.stage == Some(Stage::Decode);
         entry.belief.learn(now, verdict, decodes)
@@ -469,7 +469,7 @@
 
     /// Tokens in flight at an engine, of all instances.
     pub fn load(&self, key: EndpointKey) -> u64 {
-        self.arena.get(key).map_or(0, |e| e.tokens + self.ledger.others(e.tag))
+        self.arena.get(key).map_or(0, |e| e.tokens + self.ledger.in_flight(e.tag))
     }
 
     /// What other instances have in flight.
@@ -479,7 +479,7 @@
 
     /// What is left of the service at a stage while no other endpoint takes new work than those that name rates: the sum of
     /// their rates. `None` if some name none.
-    pub fn limited_to(&self, now: Instant, service: &str, stage: Option<Stage>) -> Option<f64> {
+    pub fn total_rate(&self, now: Instant, service: &str, stage: Option<Stage>) -> Option<f64> {
         if self.rates.is_empty() {
             return None;
         }
@@ -511,7 +511,7 @@
         let mut limited = Sample::default();
         // Whether an engine is there that could serve, if not now: then one that is not there is no alternative.
         let mut healthy = false;
-        if need.reads && self.is_reading() {
+        if need.local_prefill && self.is_reading() {
             return None;
         }
         for &key in self.services.get(need.service)? {
@@ -521,16 +521,19 @@
                 continue;
             }
             let paused =
-                entry.is_paused(now) || self.is_replaced(entry) || self.ledger.suspected(now, entry.tag);
+                entry.is_paused(now) || self.is_replaced(entry) || self.ledger.is_suspected(now, entry.tag);
             healthy |= !paused;
             if entry.belief.is_full(now) {
                 continue;
             }
-            if need.reads && self.ledger.is_reading(now, entry.tag) {
+            if need.local_prefill && self.ledger.has_local_prefill(now, entry.tag) {
                 continue;
             }
-            let in_flight = entry.tokens + self.ledger.others(entry.tag);
-            if need.limit.is_some_and(|limit| in_flight > 0 && in_flight + need.tokens + need.spare > limit) {
+            let in_flight = entry.tokens + self.ledger.in_flight(entry.tag);
+            if need
+                .limit
+                .is_some_and(|limit| in_flight > 0 && in_flight + need.tokens + need.headroom > limit)
+            {
                 continue;
             }
             let rank = (paused, Self::cost(entry, in_flight, now, need, rng));
@@ -563,7 +566,7 @@
         if !alone || self.pressure.tries(need.service, need.stage, rng) {
             for (rank, key) in limited.drawn() {
                 let better = best.is_none_or(|(least, _)| rank < least);
-                if better && rng.random_bool(self.rates.room(now, self.arena[key].tag)) {
+                if better && rng.random_bool(self.rates.admitted_share(now, self.arena[key].tag)) {
                     best = Some((rank, key));
                 }
             }
--- a/crates/routing/src/belief.rs
+++ b/crates/routing/src/health_estimate.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::Verdict;
+use crate::StepOutcome;
 
 /// Failures in a row after which an endpoint is paused.
 const FAILURES: u32 = 2;
@@ -135,30 +135,30 @@
     /// Without the pause every request would find out on its own, by its own timeout, that an endpoint is dead;
     /// callers would see a run of slow answers. The pause is short and ends by itself, so that a wrong one costs
     /// little.
-    pub(crate) fn learn(&mut self, now: Instant, verdict: Verdict, decodes: bool) -> bool {
-        if matches!(verdict, Verdict::Answered(_) | Verdict::Full) && self.silent.is_some() {
+    pub(crate) fn learn(&mut self, now: Instant, verdict: StepOutcome, decodes: bool) -> bool {
+        if matches!(verdict, StepOutcome::Answered(_) | StepOutcome::Full) && self.silent.is_some() {
             self.silent = Some(now);
         }
         match verdict {
-            Verdict::Erred => {
+            StepOutcome::ErrorResponse => {
                 self.judge(now, true);
                 self.failures = 0;
                 false
             }
-            Verdict::Answered(latency) => {
+            StepOutcome::Answered(latency) => {
                 self.judge(now, false);
                 self.answered(now, latency)
             }
-            Verdict::Full => {
+            StepOutcome::Full => {
                 self.refused(now, decodes);
                 self.paused.take().is_some()
             }
-            Verdict::Failed => {
+            StepOutcome::Failed => {
                 self.judge(now, true);
                 self.fail(now, self.failures + 1)
             }
             // An endpoint that is not there is not there for the next one either; other failures may be chance.
-            Verdict::Absent => self.fail(now, (self.failures + 1).max(FAILURES)),
+            StepOutcome::Unreachable => self.fail(now, (self.failures + 1).max(FAILURES)),
         }
     }
 
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::silence;
+use crate::failure_timeout;
 
 /// One start of an engine in the ledger, by a hash; a collision makes a choice worse and no more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -100,35 +100,35 @@
         for (&tag, &count) in &tokens {
             *self.totals.entry(tag).or_default() += u64::from(count);
         }
-        let silence = silence(Duration::ZERO);
+        let silence = failure_timeout(Duration::ZERO);
         self.accounts.insert(from, Account { order: (life, sequence), heard: now, silence, tokens });
         begins
     }
 
     /// An instance says after which time it tells something again at the latest.
-    pub fn expects(&mut self, from: P, next: Duration) {
+    pub fn set_gossip_interval(&mut self, from: P, next: Duration) {
         if let Some(account) = self.accounts.get_mut(&from) {
-            account.silence = silence(next);
+            account.silence = failure_timeout(next);
         }
     }
 
     /// An instance says that it could not use an endpoint lately.
-    pub fn suspect(&mut self, now: Instant, from: P, tag: EngineTag) {
+    pub fn report_suspect(&mut self, now: Instant, from: P, tag: EngineTag) {
         self.suspicions.entry(tag).or_default().insert(from, now);
     }
 
     /// An instance says that a decode engine reads a prompt for it.
-    pub fn reads(&mut self, now: Instant, tag: EngineTag) {
+    pub fn report_local_prefill(&mut self, now: Instant, tag: EngineTag) {
         self.reads.insert(tag, now);
     }
 
     /// Whether a decode engine reads a prompt for another instance.
-    pub fn is_reading(&self, now: Instant, tag: EngineTag) -> bool {
+    pub fn has_local_prefill(&self, now: Instant, tag: EngineTag) -> bool {
         self.reads.get(&tag).is_some_and(|&at| now.duration_since(at) < READING)
     }
 
     /// Whether enough instances could not use an endpoint lately. One alone may be cut off itself.
-    pub fn suspected(&self, now: Instant, tag: EngineTag) -> bool {
+    pub fn is_suspected(&self, now: Instant, tag: EngineTag) -> bool {
         self.suspicions.get(&tag).is_some_and(|said| {
             said.values().filter(|&&at| now.duration_since(at) < SUSPICION).count() >= SUSPECTING
         })
@@ -149,7 +149,7 @@
     }
 
     /// Tokens that others have in flight at an engine.
-    pub fn others(&self, tag: EngineTag) -> u64 {
+    pub fn in_flight(&self, tag: EngineTag) -> u64 {
         self.totals.get(&tag).copied().unwrap_or(0)
     }
 
--- a/crates/routing/src/memory.rs
+++ b/crates/routing/src/memory.rs
@@ -9,26 +9,26 @@
 
 /// What bytes are held for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Held {
+pub enum BodyKind {
     /// The body of a request that has not ended.
     Request,
     /// An answer that its caller has not read.
-    Answer,
+    Response,
 }
 
 /// There is no room for more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too much is held for callers and endpoints that have not read it")]
-pub struct Full;
+pub struct MemoryFull;
 
 /// Bytes that are held, and how many may be.
 #[derive(Debug, Clone, Copy)]
-pub struct Memory {
+pub struct BodyMemory {
     limit: u64,
     held: u64,
 }
 
-impl Memory {
+impl BodyMemory {
     /// Nothing is held yet; at most `limit` bytes may be.
     pub const fn new(limit: u64) -> Self {
         Self { limit, held: 0 }
@@ -38,21 +38,21 @@
     ///
     /// # Errors
     /// There is not enough; nothing was taken.
-    pub fn take(&mut self, bytes: u64, held: Held) -> Result<(), Full> {
+    pub fn reserve(&mut self, bytes: u64, held: BodyKind) -> Result<(), MemoryFull> {
         let limit = match held {
-            Held::Request => (self.limit as f64 * REQUESTS) as u64,
-            Held::Answer => self.limit,
+            BodyKind::Request => (self.limit as f64 * REQUESTS) as u64,
+            BodyKind::Response => self.limit,
         };
         let sum = self.held.saturating_add(bytes);
         if sum > limit {
-            return Err(Full);
+            return Err(MemoryFull);
         }
         self.held = sum;
         Ok(())
     }
 
     /// So many bytes are held no longer.
-    pub const fn give_back(&mut self, bytes: u64) {
+    pub const fn release(&mut self, bytes: u64) {
         self.held = self.held.saturating_sub(bytes);
     }
 
--- a/crates/routing/src/outputs.rs
+++ b/crates/routing/src/output_estimate.rs
@@ -16,7 +16,7 @@
 
 /// What has been learned of one service's generations.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Outputs {
+pub struct OutputEstimate {
     count: f64,
     /// Mean logarithms.
     hint: f64,
@@ -26,7 +26,7 @@
     covariance: f64,
 }
 
-impl Outputs {
+impl OutputEstimate {
     /// A generation that was estimated at `hint` tokens ended whole after so many events.
     pub fn learn(&mut self, hint: u64, events: u32) {
         if hint == 0 || events == 0 {
@@ -43,7 +43,7 @@
     }
 
     /// Expected tokens of a generation that is estimated at `hint`.
-    pub fn expect(&self, hint: u64) -> u64 {
+    pub fn predict(&self, hint: u64) -> u64 {
         if self.count == 0.0 || hint == 0 {
             return hint;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Tokens that so many events stand for, if enough has been learned.
-    pub fn made(&self, events: u32) -> Option<u64> {
+    pub fn tokens_for_events(&self, events: u32) -> Option<u64> {
         let tokens = (self.hint - self.events).exp() * f64::from(events);
         (self.count >= ENOUGH).then_some(tokens.round() as u64)
     }
--- a/crates/routing/src/peers.rs
+++ b/crates/routing/src/peers.rs
@@ -9,7 +9,7 @@
 //! missed some.
 //!
 //! A peer is named first those of its own failure domain that read the platform's store for it, as far as is known here:
-//! they have the lowest addresses ([`Source`](crate::Source)). Among hundreds of instances that is how one that starts soon
+//! they have the lowest addresses ([`UpdateSource`](crate::UpdateSource)). Among hundreds of instances that is how one that starts soon
 //! knows that it does not read itself.
 
 use std::collections::{HashMap, HashSet};
@@ -25,7 +25,7 @@
 const FORGET_PART: u32 = 2;
 /// Longest time between two tellings of a peer; under a third of the silence after which what it was told counts as
 /// ended ([`Ledger`](crate::Ledger)).
-pub const HEARTBEAT: Duration = Duration::from_millis(450);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(450);
 /// Shortest time between two tellings of a peer in the same failure domain. A prefill lasts some four of these.
 const NEAR: Duration = Duration::from_millis(25);
 /// Added to it for each peer, so that what an instance sends and reads does not grow with the square of their number.
@@ -84,15 +84,15 @@
 
     /// A peer of a failure domain was heard, which says after which time it tells something again at the latest. Says
     /// whether it was heard for the first time.
-    pub fn heard(&mut self, now: Instant, peer: P, domain: u32, next: Duration) -> bool {
+    pub fn observe(&mut self, now: Instant, peer: P, domain: u32, next: Duration) -> bool {
         let told = self.known.get(&peer).and_then(|before| before.told);
-        let silence = silence(next);
+        let silence = failure_timeout(next);
         let heard = Peer { at: now, direct: true, domain: Some(domain), silence, told };
         self.known.insert(peer, heard).is_none_or(|before| !before.direct)
     }
 
     /// A peer was named by another.
-    pub fn named(&mut self, now: Instant, peer: P) {
+    pub fn add_reported(&mut self, now: Instant, peer: P) {
         self.known.entry(peer).or_insert(Peer {
             at: now,
             direct: false,
@@ -103,7 +103,7 @@
     }
 
     /// Forgets silent peers, and returns those that had been heard.
-    pub fn forget(&mut self, now: Instant) -> Vec<P> {
+    pub fn remove_unresponsive(&mut self, now: Instant) -> Vec<P> {
         let silent = |peer: &Peer| now.duration_since(peer.at) >= FORGET.max(peer.silence * FORGET_PART);
         let gone = self.known.iter().filter(|(_, p)| silent(p) && p.direct).map(|(&p, _)| p).collect();
         self.known.retain(|_, peer| !silent(peer));
@@ -111,13 +111,13 @@
     }
 
     /// Peers to name to others.
-    pub fn fresh(&self, now: Instant) -> impl Iterator<Item = P> {
+    pub fn responsive(&self, now: Instant) -> impl Iterator<Item = P> {
         let fresh = move |peer: &Peer| peer.direct && now.duration_since(peer.at) < peer.silence;
         self.known.iter().filter(move |(_, peer)| fresh(peer)).map(|(&p, _)| p)
     }
 
     /// Peers of the same failure domain that were heard lately.
-    pub fn near(&self, now: Instant) -> impl Iterator<Item = P> {
+    pub fn responsive_in_domain(&self, now: Instant) -> impl Iterator<Item = P> {
         self.of_domain(now, self.domain)
     }
 
@@ -130,7 +130,7 @@
     /// The part of what all instances share that is for those that are heard, this one included: peers that are silent while
     /// others of their failure domain are heard may go on with theirs. A domain that is silent as a whole is cut off, and
     /// the endpoints in it as well.
-    pub fn part(&self, now: Instant) -> f64 {
+    pub fn reachable_share(&self, now: Instant) -> f64 {
         let (fresh, silent): (Vec<&Peer>, Vec<&Peer>) = (self.known.values().filter(|peer| peer.direct))
             .partition(|peer| now.duration_since(peer.at) < peer.silence);
         let present: HashSet<u32> =
@@ -146,14 +146,14 @@
     }
 
     /// Peers to name to those of a failure domain: the first of that domain, and some others.
-    pub fn to_name(&self, now: Instant, domain: Option<u32>, rng: &mut impl Rng) -> Vec<P> {
+    pub fn sample_for(&self, now: Instant, domain: Option<u32>, rng: &mut impl Rng) -> Vec<P> {
         let mut named: Vec<P> =
             domain.map(|domain| self.of_domain(now, domain).collect()).unwrap_or_default();
         let (firsts, most) = (FIRSTS.min(named.len()), named.len().min(FIRSTS + NAMED_NEAR));
         named.sort_unstable();
         named[firsts..].partial_shuffle(rng, most - firsts);
         named.truncate(most);
-        let rest = self.fresh(now).filter(|peer| !named.contains(peer)).choose_multiple(rng, NAMED);
+        let rest = self.responsive(now).filter(|peer| !named.contains(peer)).choose_multiple(rng, NAMED);
         named.extend(rest);
         named
     }
@@ -162,11 +162,11 @@
     fn gap(&self, near: bool) -> Duration {
         let others = self.known.len().min(FANOUT) as u32;
         let gap = NEAR + NEAR_PEER * others;
-        if near { gap } else { gap.mul_f64((f64::from(others) / FAR).max(1.0)).min(HEARTBEAT) }
+        if near { gap } else { gap.mul_f64((f64::from(others) / FAR).max(1.0)).min(HEARTBEAT_INTERVAL) }
     }
 
     /// The shortest time after which some peer is due again.
-    pub fn pace(&self) -> Duration {
+    pub fn min_interval(&self) -> Duration {
         self.gap(true)
     }
 
@@ -196,19 +196,19 @@
     }
 
     /// After which time a peer of a failure domain is told something again at the latest.
-    pub fn turn(&self, domain: Option<u32>) -> Duration {
+    pub fn gossip_interval(&self, domain: Option<u32>) -> Duration {
         let far = self.known.values().filter(|peer| self.is_far(peer)).count();
         let near = self.known.len() - far;
         let (near_slots, far_slots) = slots(near, far);
         let (count, slots) = if domain == Some(self.domain) { (near, near_slots) } else { (far, far_slots) };
         let rounds = count.div_ceil(slots.max(1)).max(1) as u32;
-        (self.pace() + self.pause(false)) * rounds
+        (self.min_interval() + self.round_pause(false)) * rounds
     }
 
     /// How long a round waits for something new. With news that is told for some seconds only (`urgent`) rounds follow one
     /// another, so that all peers have had their turn by then.
-    pub const fn pause(&self, urgent: bool) -> Duration {
-        if urgent { Duration::ZERO } else { HEARTBEAT }
+    pub const fn round_pause(&self, urgent: bool) -> Duration {
+        if urgent { Duration::ZERO } else { HEARTBEAT_INTERVAL }
     }
 
     /// Whether a peer is known.
@@ -234,6 +234,6 @@
 }
 
 /// Silence after which a peer counts as gone that said when it tells something again at the latest.
-pub fn silence(next: Duration) -> Duration {
+pub fn failure_timeout(next: Duration) -> Duration {
     SILENCE.max(next * MISSED)
 }
--- a/crates/routing/src/pace.rs
+++ b/crates/routing/src/prefill_estimate.rs
@@ -13,17 +13,17 @@
 
 /// The learned pace of a service's prefill engines.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct PrefillEstimate {
     seconds: f64,
 }
 
-impl Default for Pace {
+impl Default for PrefillEstimate {
     fn default() -> Self {
         Self { seconds: FIRST }
     }
 }
 
-impl Pace {
+impl PrefillEstimate {
     /// A prefill took `time`, with `tokens` in flight at its engine, its own among them, when it began.
     pub fn learn(&mut self, tokens: u64, time: Duration) {
         let seconds = time.as_secs_f64() / tokens.max(1) as f64;
@@ -36,11 +36,11 @@
     /// An engine with nothing in flight is always worth a try: a pace that was learned while engines were slow or cut off
     /// would otherwise forbid every prefill, and without a prefill nothing better is ever learned.
     pub fn in_time(&self, in_flight: u64, prompt: u64, limit: Duration) -> bool {
-        in_flight == 0 || self.expect(in_flight + prompt) < limit
+        in_flight == 0 || self.predict(in_flight + prompt) < limit
     }
 
     /// Expected time of a prefill with `tokens` in flight, its own among them.
-    pub fn expect(&self, tokens: u64) -> Duration {
+    pub fn predict(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(self.seconds * tokens as f64)
     }
 }
--- a/crates/routing/src/rates.rs
+++ b/crates/routing/src/rates.rs
@@ -66,11 +66,11 @@
 
 /// What an instance tells others of an endpoint that names a rate, or did so lately.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RateNews {
+pub struct RateReport {
     /// The endpoint.
     pub endpoint: EngineTag,
     /// What it told the sender last, if that was lately.
-    pub word: Option<RateWord>,
+    pub observation: Option<RateObservation>,
     /// Requests that the sender sent there since it knows of the rate.
     pub total: u32,
     /// Those of the last seconds among them.
@@ -79,7 +79,7 @@
 
 /// What an endpoint told an instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RateWord {
+pub struct RateObservation {
     /// The rate that it named, in requests a second, or none.
     pub rate: Option<f64>,
     /// How long ago.
@@ -188,7 +188,12 @@
     }
 
     /// An endpoint's answer names a rate, or none. Says what that changes.
-    pub fn answered(&mut self, now: Instant, endpoint: EngineTag, rate: Option<f64>) -> Option<RateChange> {
+    pub fn observe_response(
+        &mut self,
+        now: Instant,
+        endpoint: EngineTag,
+        rate: Option<f64>,
+    ) -> Option<RateChange> {
         let change = self.take_word(now, endpoint, rate, now);
         if let Some(account) = self.accounts.get_mut(&endpoint) {
             account.direct = Some(now);
@@ -200,7 +205,12 @@
     }
 
     /// Another instance tells what an endpoint told it. Says what that changes.
-    pub fn told_word(&mut self, now: Instant, endpoint: EngineTag, word: RateWord) -> Option<RateChange> {
+    pub fn merge_observation(
+        &mut self,
+        now: Instant,
+        endpoint: EngineTag,
+        word: RateObservation,
+    ) -> Option<RateChange> {
         let said = now.checked_sub(word.age)?;
         self.take_word(now, endpoint, word.rate, said)
     }
@@ -244,7 +254,7 @@
     }
 
     /// Another instance, in this life of it, tells what it has sent to an endpoint.
-    pub fn told_sends(&mut self, now: Instant, from: P, life: u64, news: RateNews) {
+    pub fn merge_sends(&mut self, now: Instant, from: P, life: u64, news: RateReport) {
         let part = self.own_part();
         let Some(account) = self.accounts.get_mut(&news.endpoint) else { return };
         let more = match account.known.insert(from, (life, news.total)) {
@@ -258,7 +268,7 @@
     }
 
     /// What others are to be told now.
-    pub fn news(&mut self, now: Instant) -> Vec<RateNews> {
+    pub fn reports(&mut self, now: Instant) -> Vec<RateReport> {
         if self.accounts.is_empty() && self.ended.is_empty() {
             return Vec::new();
         }
@@ -267,17 +277,17 @@
         let mut news = Vec::new();
         for (&endpoint, &(at, direct)) in &self.ended {
             if direct && lately(&at) {
-                let word = Some(RateWord { rate: None, age: age(at) });
-                news.push((at, RateNews { endpoint, word, total: 0, recent: 0 }));
+                let observation = Some(RateObservation { rate: None, age: age(at) });
+                news.push((at, RateReport { endpoint, observation, total: 0, recent: 0 }));
             }
         }
         for (&endpoint, account) in &mut self.accounts {
             account.trim(now);
             let direct = account.direct.filter(lately);
             let Some(at) = direct.max(account.recent.back().copied().filter(lately)) else { continue };
-            let word = direct.map(|at| RateWord { rate: Some(account.rate), age: age(at) });
+            let observation = direct.map(|at| RateObservation { rate: Some(account.rate), age: age(at) });
             let recent = account.recent.len() as u32;
-            news.push((at, RateNews { endpoint, word, total: account.total, recent }));
+            news.push((at, RateReport { endpoint, observation, total: account.total, recent }));
         }
         news.sort_by_key(|&(at, _)| std::cmp::Reverse(at));
         news.into_iter().take(TELLING_MAX).map(|(_, news)| news).collect()
@@ -289,7 +299,7 @@
     }
 
     /// The part of the requests that may go to an endpoint now, from 0 to 1.
-    pub fn room(&self, now: Instant, endpoint: EngineTag) -> f64 {
+    pub fn admitted_share(&self, now: Instant, endpoint: EngineTag) -> f64 {
         let Some(account) = self.accounts.get(&endpoint) else { return 1.0 };
         let part = self.own_part();
         let level = account.level(now, part);
@@ -318,7 +328,7 @@
     }
 
     /// A request is about to go to an endpoint.
-    pub fn take(&mut self, now: Instant, endpoint: EngineTag) {
+    pub fn charge(&mut self, now: Instant, endpoint: EngineTag) {
         let part = self.own_part();
         let Some(account) = self.accounts.get_mut(&endpoint) else { return };
         account.refill(now, part);
@@ -328,8 +338,8 @@
         account.trim(now);
     }
 
-    /// A request that was [taken](Rates::take) has not reached the endpoint.
-    pub fn give_back(&mut self, now: Instant, endpoint: EngineTag) {
+    /// A request that was [taken](Rates::charge) has not reached the endpoint.
+    pub fn refund(&mut self, now: Instant, endpoint: EngineTag) {
         let part = self.own_part();
         let Some(account) = self.accounts.get_mut(&endpoint) else { return };
         // It may have been taken before the endpoint named a rate.
@@ -341,7 +351,7 @@
     }
 
     /// The endpoint has gone.
-    pub fn forget(&mut self, endpoint: EngineTag) {
+    pub fn remove(&mut self, endpoint: EngineTag) {
         self.accounts.remove(&endpoint);
         self.ended.remove(&endpoint);
     }
--- a/crates/routing/src/refused.rs
+++ b/crates/routing/src/refusals.rs
@@ -13,15 +13,15 @@
 
 /// Refusals of the last seconds, by service.
 #[derive(Debug, Default)]
-pub struct Refused {
+pub struct Refusals {
     times: HashMap<Arc<str>, VecDeque<Instant>>,
 }
 
-impl Refused {
+impl Refusals {
     /// Counts a refusal and says when its caller is to come back at the latest. The service takes `rate` requests a second
     /// from `instances` together, whose callers are taken to be refused alike. Callers who spread over this time come back as
     /// fast as they can be served.
-    pub fn refuse(&mut self, now: Instant, service: &Arc<str>, rate: f64, instances: usize) -> Duration {
+    pub fn record(&mut self, now: Instant, service: &Arc<str>, rate: f64, instances: usize) -> Duration {
         let times = self.times.entry(Arc::clone(service)).or_default();
         times.push_back(now);
         while times.front().is_some_and(|&at| now.duration_since(at) > WINDOW) {
@@ -32,7 +32,7 @@
     }
 
     /// Whether a request to the service was refused a moment ago.
-    pub fn is_pressed(&self, now: Instant, service: &str) -> bool {
+    pub fn is_overloaded(&self, now: Instant, service: &str) -> bool {
         let last = self.times.get(service).and_then(VecDeque::back);
         last.is_some_and(|&at| now.duration_since(at) < PRESSED)
     }
--- a/crates/routing/src/departed.rs
+++ b/crates/routing/src/removed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::Life;
+use crate::Incarnation;
 
 /// Starts of endpoints that are remembered after they have gone; more than leave in the minutes in which an old entry may
 /// still be written.
@@ -10,14 +10,14 @@
 
 /// Starts of endpoints that were listed and have gone, the latest ones.
 #[derive(Debug, Default)]
-pub(crate) struct Departed {
+pub(crate) struct Removed {
     /// Whether it had said that it leaves.
-    known: HashMap<Life, bool>,
-    order: VecDeque<Life>,
+    known: HashMap<Incarnation, bool>,
+    order: VecDeque<Incarnation>,
 }
 
-impl Departed {
-    pub(crate) fn insert(&mut self, life: Life, leaving: bool) {
+impl Removed {
+    pub(crate) fn insert(&mut self, life: Incarnation, leaving: bool) {
         if let Some(known) = self.known.get_mut(&life) {
             *known |= leaving;
             return;
@@ -32,7 +32,7 @@
     }
 
     /// Whether a start that has gone had said that it leaves; `None` for one that is not known to have gone.
-    pub(crate) fn left(&self, life: &Life) -> Option<bool> {
+    pub(crate) fn left(&self, life: &Incarnation) -> Option<bool> {
         self.known.get(life).copied()
     }
 }
--- a/crates/routing/src/allowances.rs
+++ b/crates/routing/src/retry_detection.rs
@@ -27,13 +27,13 @@
 
 /// The longest deadlines by route.
 #[derive(Debug, Default)]
-pub struct Allowances {
+pub struct RetryDetector {
     routes: HashMap<Arc<str>, Longest>,
 }
 
-impl Allowances {
+impl RetryDetector {
     /// Learns from a caller's deadline, and says whether the caller comes back.
-    pub fn returns(&mut self, now: Instant, route: &Arc<str>, deadline: Duration) -> bool {
+    pub fn is_retry(&mut self, now: Instant, route: &Arc<str>, deadline: Duration) -> bool {
         let first = || Longest { begun: now, current: deadline, before: Duration::ZERO };
         let longest = self.routes.entry(Arc::clone(route)).or_insert_with(first);
         if now.duration_since(longest.begun) >= PERIOD {
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -60,13 +60,13 @@
 
 impl Route {
     /// Time without an event after which callers leave a stream.
-    pub fn leaving(&self) -> Duration {
+    pub fn abandon_timeout(&self) -> Duration {
         let gaps = self.gap.map_or(Duration::ZERO, |gap| gap * LEAVING_GAPS);
         LEAVING.max(self.goal * LEAVING_GOALS).max(gaps)
     }
 
     /// Draws a service by weight.
-    pub fn draw(&self, rng: &mut impl Rng) -> Option<&Arc<str>> {
+    pub fn pick_service(&self, rng: &mut impl Rng) -> Option<&Arc<str>> {
         let total: u32 = self.targets.iter().map(|t| t.1).sum();
         if total == 0 {
             return None;
@@ -100,7 +100,7 @@
     ///
     /// An endpoint resets connections beyond its limit, whoever made them, and a request that may run once is then lost.
     /// Idle connections of many instances alone could reach it.
-    pub fn idle_share(&self, instances: usize) -> usize {
+    pub fn max_idle_connections(&self, instances: usize) -> usize {
         let share = f64::from(self.connections) * IDLE_PART / instances.max(1) as f64;
         if self.connections == 0 { usize::MAX } else { (share as usize).max(1) }
     }
--- a/crates/routing/src/sends.rs
+++ b/crates/routing/src/sends.rs
@@ -28,7 +28,13 @@
     }
 
     /// Whether the route allows one more send, and the budget of the service pays for what came before it.
-    pub fn may_go(&mut self, now: Instant, attempts: u32, service: &Arc<str>, budgets: &mut Budgets) -> bool {
+    pub fn may_send(
+        &mut self,
+        now: Instant,
+        attempts: u32,
+        service: &Arc<str>,
+        budgets: &mut Budgets,
+    ) -> bool {
         if self.counted == 0 {
             return true;
         }
--- a/crates/routing/src/holders.rs
+++ b/crates/routing/src/snapshot_sources.rs
@@ -16,14 +16,14 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-use crate::{Era, Passage, Source};
+use crate::{Era, EraOrder, UpdateSource};
 
 /// Time after the start until an instance has heard who else is in its domain, and so whether it reads the store for others.
 const SETTLED: Duration = Duration::from_secs(1);
 
 /// What to do next for a list that is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Supply<P> {
+pub enum SnapshotStep<P> {
     /// Ask this peer for a copy.
     Peer(P),
     /// Look again in a moment.
@@ -34,38 +34,38 @@
 
 /// A list that is missing here.
 #[derive(Debug, Clone)]
-pub struct Search<P> {
+pub struct SnapshotSearch<P> {
     /// Era of the store.
     pub era: Era,
     /// Only a list of a later revision is of use.
-    pub beyond: Option<u64>,
+    pub newer_than: Option<u64>,
     /// Peers that could not give it a moment ago.
     pub tried: Vec<P>,
     /// For how long it has been missing.
-    pub missing: Duration,
+    pub missing_for: Duration,
     /// For how long to look for a holder that can give it now.
-    pub patience: Duration,
+    pub busy_timeout: Duration,
     /// For how long to look while nobody is known to have it.
-    pub hope: Duration,
+    pub no_source_timeout: Duration,
     /// Time since this instance started.
-    pub up: Duration,
+    pub uptime: Duration,
 }
 
 /// Peers of the same failure domain that have the whole list, and up to which revision.
 #[derive(Debug)]
-pub struct Holders<P> {
+pub struct SnapshotSources<P> {
     known: HashMap<P, (Era, u64)>,
 }
 
-impl<P> Default for Holders<P> {
+impl<P> Default for SnapshotSources<P> {
     fn default() -> Self {
         Self { known: HashMap::new() }
     }
 }
 
-impl<P: Copy + Eq + Hash + Ord> Holders<P> {
+impl<P: Copy + Eq + Hash + Ord> SnapshotSources<P> {
     /// A peer says up to which revision it has the list; `None` if it has not.
-    pub fn told(&mut self, peer: P, era: Era, revision: Option<u64>) {
+    pub fn observe(&mut self, peer: P, era: Era, revision: Option<u64>) {
         match revision {
             Some(revision) => self.known.insert(peer, (era, revision)),
             None => self.known.remove(&peer),
@@ -73,7 +73,7 @@
     }
 
     /// Forgets peers that are not heard any more.
-    pub fn keep(&mut self, is_heard: impl Fn(P) -> bool) {
+    pub fn retain(&mut self, is_heard: impl Fn(P) -> bool) {
         self.known.retain(|&peer, _| is_heard(peer));
     }
 
@@ -83,27 +83,34 @@
     }
 
     /// What to do next for a missing list, for an instance that gets its news from `source`.
-    pub fn next(&self, search: &Search<P>, source: Source, rng: &mut impl Rng) -> Supply<P> {
+    pub fn next(
+        &self,
+        search: &SnapshotSearch<P>,
+        source: UpdateSource,
+        rng: &mut impl Rng,
+    ) -> SnapshotStep<P> {
         if let Some(peer) = self.choose(search, rng) {
-            return Supply::Peer(peer);
+            return SnapshotStep::Peer(peer);
         }
         let waits = match source {
-            Source::Alone | Source::Reader => search.up < SETTLED,
-            Source::Peers if self.fitting(search).next().is_some() => search.missing < search.patience,
-            Source::Peers => search.missing < search.hope,
+            UpdateSource::Alone | UpdateSource::Reader => search.uptime < SETTLED,
+            UpdateSource::Peers if self.fitting(search).next().is_some() => {
+                search.missing_for < search.busy_timeout
+            }
+            UpdateSource::Peers => search.missing_for < search.no_source_timeout,
         };
-        if waits { Supply::Wait } else { Supply::Store }
+        if waits { SnapshotStep::Wait } else { SnapshotStep::Store }
     }
 
     /// Any of those that have it, so that not all ask the same.
-    fn choose(&self, search: &Search<P>, rng: &mut impl Rng) -> Option<P> {
+    fn choose(&self, search: &SnapshotSearch<P>, rng: &mut impl Rng) -> Option<P> {
         self.fitting(search).filter(|peer| !search.tried.contains(peer)).choose(rng)
     }
 
-    fn fitting(&self, search: &Search<P>) -> impl Iterator<Item = P> {
-        let (known, beyond) = (search.era, search.beyond);
+    fn fitting(&self, search: &SnapshotSearch<P>) -> impl Iterator<Item = P> {
+        let (known, beyond) = (search.era, search.newer_than);
         let fits = move |era: Era, revision: u64| {
-            era.judge(known) == Passage::Same && beyond.is_none_or(|beyond| revision > beyond)
+            era.compare(known) == EraOrder::Same && beyond.is_none_or(|beyond| revision > beyond)
         };
         self.known.iter().filter(move |&(_, &(era, revision))| fits(era, revision)).map(|(&peer, _)| peer)
     }
--- a/crates/routing/src/stages.rs
+++ b/crates/routing/src/stages.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::{Endpoint, Life, Stage};
+use crate::{Endpoint, Incarnation, Stage};
 
 /// Tokens of memory at which one decode engine keeps up with one prefill engine: a request's tokens (some thousands)
 /// times how much longer an answer takes than its prefill (some thirty times).
@@ -24,11 +24,11 @@
 
 /// A change of an engine's stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct StageChange {
     /// The engine.
     pub id: Arc<str>,
     /// Which start of it.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Its new stage.
     pub stage: Stage,
 }
@@ -39,14 +39,14 @@
 /// Each failure domain keeps its prefill engines as evenly as numbers allow: the domain with the most gives one up
 /// first. `memory` is an engine's memory in tokens. At least two are kept, so that the loss of one leaves prefill working. With `serving` a small excess is left
 /// alone.
-pub fn plan_changes<'a>(
+pub fn plan_stage_changes<'a>(
     open: impl Iterator<Item = &'a Endpoint>,
-    ordered: impl Fn(&Life) -> Option<Stage>,
+    ordered: impl Fn(&Incarnation) -> Option<Stage>,
     serving: bool,
     memory: u64,
-) -> Vec<Change> {
+) -> Vec<StageChange> {
     let all: Vec<&Endpoint> = open.filter(|e| e.stage.is_some()).collect();
-    let stage = |e: &Endpoint| ordered(&e.life()).or(e.stage);
+    let stage = |e: &Endpoint| ordered(&e.incarnation()).or(e.stage);
     let mut prefill = ByDomain::of(all.iter().copied().filter(|e| stage(e) == Some(Stage::Prefill)));
     let memory = memory as f64;
     let balance = all.len() as f64 * memory / (memory + BALANCE);
@@ -58,7 +58,11 @@
     }
     while prefill.count > wanted {
         let Some(engine) = prefill.take() else { break };
-        changes.push(Change { id: Arc::clone(&engine.id), life: engine.life(), stage: Stage::Decode });
+        changes.push(StageChange {
+            id: Arc::clone(&engine.id),
+            incarnation: engine.incarnation(),
+            stage: Stage::Decode,
+        });
     }
     changes
 }
--- a/crates/routing/src/news.rs
+++ b/crates/routing/src/store_updates.rs
@@ -14,7 +14,7 @@
 //! for [`Freshness::limit`], whatever it was told and whoever is silent, dead, cut off or late. Only the age counts, so that
 //! a telling that is old, comes twice or out of order can make nothing worse. The age is measured by a clock that counts the
 //! time in which a machine is suspended, and an answer of the store that may have lain unread while its reader stood still
-//! counts from the moment at which it was asked for ([`Pulse`]).
+//! counts from the moment at which it was asked for ([`StallDetector`]).
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 
 /// Where an instance gets news of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Source {
+pub enum UpdateSource {
     /// From the store, for itself.
     #[default]
     Alone,
@@ -47,7 +47,7 @@
     Peers,
 }
 
-impl Source {
+impl UpdateSource {
     /// What an instance at `own` does, with these peers of its domain heard lately.
     pub fn of<P: Ord>(own: &P, peers: impl Iterator<Item = P>) -> Self {
         let (mut count, mut lower) = (0, 0);
@@ -89,7 +89,7 @@
 
 /// The era of an answer or a telling, beside the one that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passage {
+pub enum EraOrder {
     /// The same, or one of them says nothing of it.
     Same,
     /// The store has gone back since: what is known of revisions means nothing any more.
@@ -100,7 +100,7 @@
 
 impl Era {
     /// The era that an answer tells, if it does.
-    pub const fn told(number: Option<u64>) -> Self {
+    pub const fn new(number: Option<u64>) -> Self {
         Self(number)
     }
 
@@ -110,11 +110,11 @@
     }
 
     /// Judges another era beside this one, which is known.
-    pub fn judge(self, other: Self) -> Passage {
+    pub fn compare(self, other: Self) -> EraOrder {
         match (self.0, other.0) {
-            (Some(known), Some(told)) if told > known => Passage::Newer,
-            (Some(known), Some(told)) if told < known => Passage::Older,
-            (Some(_) | None, Some(_) | None) => Passage::Same,
+            (Some(known), Some(told)) if told > known => EraOrder::Newer,
+            (Some(known), Some(told)) if told < known => EraOrder::Older,
+            (Some(_) | None, Some(_) | None) => EraOrder::Same,
         }
     }
 
@@ -127,7 +127,7 @@
 
 /// What a telling means to an instance that hears it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum UpdateEffect {
     /// Changes that are to be taken over.
     Changes,
     /// Nothing new; what is known is confirmed.
@@ -136,7 +136,7 @@
     Gap,
 }
 
-impl Word {
+impl UpdateEffect {
     /// Judges a telling of the changes after `after` up to `revision`; `known` is the revision that is known already.
     /// `complete` says whether the telling holds these changes.
     pub const fn of(known: u64, after: u64, revision: u64, complete: bool) -> Self {
@@ -152,7 +152,7 @@
 
 /// Whether an instance that goes by its peers must ask for something itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Ask {
+pub enum ReadNeed {
     /// It need not.
     #[default]
     No,
@@ -162,10 +162,10 @@
     Gap(u64),
 }
 
-impl Ask {
+impl ReadNeed {
     /// Something up to a revision is missing, after what is missing already.
     #[must_use]
-    pub fn missing(self, revision: u64) -> Self {
+    pub fn with_gap(self, revision: u64) -> Self {
         match self {
             Self::Gap(before) => Self::Gap(before.max(revision)),
             Self::No | Self::Due => Self::Gap(revision),
@@ -210,33 +210,33 @@
     /// How long ago an entry that is found missing now may have gone: since what was known was last confirmed. Where that is
     /// longer ago than knowledge may be old the store was away, and nothing tells when the entry went; it counts as gone
     /// now, since many that lapsed meanwhile are back in a moment.
-    pub fn absence(&self, now: Duration) -> Duration {
+    pub fn missing_for(&self, now: Duration) -> Duration {
         let age = self.age(now);
         if age <= self.limit { age } else { Duration::ZERO }
     }
 
     /// How long what is known may still go unconfirmed; `None` if the store must be asked.
-    pub fn left(&self, now: Duration) -> Option<Duration> {
+    pub fn remaining(&self, now: Duration) -> Option<Duration> {
         self.limit.checked_sub(self.age(now)).filter(|left| !left.is_zero())
     }
 }
 
 /// Beats of a process, by which it notices that it stood still.
 #[derive(Debug, Clone, Copy)]
-pub struct Pulse {
+pub struct StallDetector {
     last: Duration,
     /// When it last went on after it had stood still.
     woke: Option<Duration>,
 }
 
-impl Pulse {
+impl StallDetector {
     /// The first beat.
     pub const fn new(now: Duration) -> Self {
         Self { last: now, woke: None }
     }
 
     /// A beat.
-    pub fn beat(&mut self, now: Duration) {
+    pub fn tick(&mut self, now: Duration) {
         if self.is_late(now) {
             self.woke = Some(now);
         }
--- a/crates/routing/src/patience.rs
+++ b/crates/routing/src/wait_policy.rs
@@ -37,45 +37,49 @@
 
 /// How a generation waits for room.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct WaitPolicy {
     /// When the search ends.
     pub until: Instant,
     /// Whether the request is late already, and leaves the last room to others.
     pub late: bool,
 }
 
-impl Patience {
+impl WaitPolicy {
     /// A new request waits while it can be on time; longer, it would only keep others waiting. One that was refused
     /// before (`returns`) waits longer, behind the others: it may not come back again. `until` is the end of its time.
-    pub fn arriving(arrived: Instant, until: Instant, route: &Route, returns: bool) -> Self {
-        let wait = if returns { route.leaving().mul_f64(RETURN_PART) } else { route.goal.mul_f64(ROOM_PART) };
+    pub fn for_arrival(arrived: Instant, until: Instant, route: &Route, returns: bool) -> Self {
+        let wait = if returns {
+            route.abandon_timeout().mul_f64(RETURN_PART)
+        } else {
+            route.goal.mul_f64(ROOM_PART)
+        };
         Self { until: (arrived + wait).min(until), late: returns }
     }
 
     /// A stream that broke waits like a request that can be on time.
-    pub fn resuming(now: Instant, until: Instant) -> Self {
+    pub fn for_resume(now: Instant, until: Instant) -> Self {
         Self { until: (now + RESUME).min(until), late: false }
     }
 
     /// Tokens of room that must be left to others besides the `tokens` of its own.
-    pub fn spare(self, tokens: u64) -> u64 {
+    pub fn headroom(self, tokens: u64) -> u64 {
         if self.late { tokens } else { 0 }
     }
 
     /// Longest time that its prefill may be expected to take.
-    pub fn prefill(self, route: &Route) -> Duration {
+    pub fn prefill_limit(self, route: &Route) -> Duration {
         route.goal.mul_f64(if self.late { PREFILL_GOAL_LATE } else { PREFILL_GOAL })
     }
 }
 
 /// The pace of one search for room.
 #[derive(Debug)]
-pub struct Looks {
+pub struct Backoff {
     pause: Duration,
     refusals: u32,
 }
 
-impl Looks {
+impl Backoff {
     /// Starts a search; `late` if the request cannot be on time any more.
     pub const fn new(late: bool) -> Self {
         Self { pause: if late { LOOK_LATE } else { LOOK }, refusals: 0 }
@@ -94,7 +98,7 @@
     /// connections for each generation that finds room, and wins nothing: a room that comes free is found by somebody
     /// within milliseconds in any case. With pauses that grow, five pairs at 195 instances made a quarter fewer
     /// connections for the same callers.
-    pub fn refused(&mut self) -> Duration {
+    pub fn after_refusal(&mut self) -> Duration {
         let pause = self.pause * self.refusals;
         self.refusals = (self.refusals + 1).min(REFUSALS);
         pause
@@ -102,6 +106,6 @@
 }
 
 /// When a caller who is refused for want of room, with so much of its time left, comes back.
-pub fn way_back(left: Duration) -> Duration {
+pub fn retry_delay(left: Duration) -> Duration {
     left.mul_f64(AWAY_PART).min(AWAY)
 }
--- a/crates/routing/tests/all/looks.rs
+++ b/crates/routing/tests/all/backoff.rs
@@ -8,7 +8,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use teaselshunt_routing::Looks;
+use teaselshunt_routing::Backoff;
 
 const ENGINES: usize = 90;
 const ROOM: usize = 7;
@@ -21,11 +21,11 @@
 struct Search {
     next: Duration,
     until: Duration,
-    looks: Looks,
+    looks: Backoff,
 }
 
 /// Asks, and generations that found room, over a burst; `pace` says how long a search pauses after a refusal.
-fn burst(seed: u64, pace: impl Fn(&mut Looks) -> Duration) -> (u32, u32) {
+fn burst(seed: u64, pace: impl Fn(&mut Backoff) -> Duration) -> (u32, u32) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut engines: Vec<Vec<Duration>> = vec![Vec::new(); ENGINES];
     let mut searches: Vec<Search> = Vec::new();
@@ -33,7 +33,7 @@
     while now < BURST {
         while arrived < now.as_millis() as u64 * RATE / 1000 {
             arrived += 1;
-            searches.push(Search { next: now, until: now + SEARCH, looks: Looks::new(false) });
+            searches.push(Search { next: now, until: now + SEARCH, looks: Backoff::new(false) });
         }
         for engine in &mut engines {
             engine.retain(|end| *end > now);
@@ -64,7 +64,7 @@
 fn searches_in_a_full_pool_ask_seldom_and_find_as_much() {
     for seed in 0..5 {
         let (hasty, most) = burst(seed, |_| Duration::ZERO);
-        let (asks, found) = burst(seed, Looks::refused);
+        let (asks, found) = burst(seed, Backoff::after_refusal);
         assert!(asks * 5 < hasty, "seed {seed}: {asks} asks, {hasty} without pauses");
         assert!(found * 100 > most * 97, "seed {seed}: {found} found room, {most} without pauses");
     }
@@ -74,8 +74,8 @@
 /// would make the first event of a stream later for nothing.
 #[test]
 fn one_refusal_is_no_reason_to_wait() {
-    let mut looks = Looks::new(false);
-    assert_eq!(looks.refused(), Duration::ZERO);
-    assert!(looks.refused() >= looks.pause());
-    assert!(looks.refused() > looks.pause());
+    let mut looks = Backoff::new(false);
+    assert_eq!(looks.after_refusal(), Duration::ZERO);
+    assert!(looks.after_refusal() >= looks.pause());
+    assert!(looks.after_refusal() > looks.pause());
 }
--- a/crates/routing/tests/all/budget.rs
+++ b/crates/routing/tests/all/budget.rs
@@ -6,12 +6,12 @@
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use teaselshunt_routing::{Budgets, Terms};
+use teaselshunt_routing::{BudgetTerms, Budgets};
 
 const WINDOW: Duration = Duration::from_secs(10);
 
 fn budgets(slack: f64) -> Budgets {
-    Budgets::new(Terms { ratio: 0.2, slack, window: WINDOW }, 0.5)
+    Budgets::new(BudgetTerms { ratio: 0.2, slack, window: WINDOW }, 0.5)
 }
 
 quickcheck! {
@@ -33,7 +33,7 @@
                         repeats.push(at);
                     }
                 } else {
-                    own.request(at, &service);
+                    own.count_request(at, &service);
                     requests.push(at);
                 }
             }
@@ -57,7 +57,7 @@
     let (mut own, service, start) = (budgets(58.0), Arc::from("desk"), Instant::now());
     let taken = (0..1000).filter(|&n| {
         let at = start + Duration::from_millis(n * 10);
-        own.request(at, &service);
+        own.count_request(at, &service);
         own.take(at, &service)
     });
     let taken = taken.count();
@@ -85,12 +85,12 @@
         let (service, start) = (Arc::from("desk"), Instant::now());
         let (mut requests, mut repeats) = (0, 0);
         for _ in 0..instances {
-            let terms = Terms { ratio: 0.2, slack, window: WINDOW };
+            let terms = BudgetTerms { ratio: 0.2, slack, window: WINDOW };
             let mut own = Budgets::new(terms, rng.random_range(0.0..1.0));
             own.share_among(instances);
             for _ in 0..rng.random_range(0..14) {
                 requests += 1;
-                own.request(start, &service);
+                own.count_request(start, &service);
             }
             repeats += (0..100).take_while(|_| own.take(start, &service)).count();
         }
--- a/crates/routing/tests/all/endpoints.rs
+++ b/crates/routing/tests/all/endpoints.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use teaselshunt_routing::{Endpoint, EndpointState, Endpoints, EngineTag, Need, Stage, Verdict};
+use teaselshunt_routing::{Endpoint, EndpointState, Endpoints, EngineTag, Need, Stage, StepOutcome};
 
 fn endpoint(id: &str, domain: &str) -> Endpoint {
     Endpoint {
@@ -26,8 +26,8 @@
         tried,
         tokens: 0,
         limit: None,
-        spare: 0,
-        reads: false,
+        headroom: 0,
+        local_prefill: false,
         hedge: false,
     }
 }
@@ -66,13 +66,13 @@
     endpoints.upsert(Endpoint { state: EndpointState::Leaving, ..endpoint("leaving", "north") });
     let until = now + Duration::from_secs(1);
     for id in ["live", "dead", "leaving"] {
-        endpoints.doubt(id, until);
+        endpoints.mark_unconfirmed(id, until);
     }
     assert_eq!(endpoints.len(), 2);
     assert_eq!(chosen(&endpoints, now), names(&["live", "dead"]));
     endpoints.upsert(endpoint("live", "north"));
     assert_eq!(chosen(&endpoints, until), names(&["live"]));
-    assert_eq!(endpoints.expire(until), vec![Arc::from("dead")]);
+    assert_eq!(endpoints.remove_unconfirmed(until), vec![Arc::from("dead")]);
     assert_eq!(endpoints.len(), 1);
 }
 
@@ -83,13 +83,13 @@
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(endpoint("a", "north"));
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
-    assert!(!endpoints.learn(now, key, Verdict::Failed));
-    assert!(endpoints.learn(now, key, Verdict::Failed), "it is paused now");
+    assert!(!endpoints.learn(now, key, StepOutcome::Failed));
+    assert!(endpoints.learn(now, key, StepOutcome::Failed), "it is paused now");
     assert_eq!(chosen(&endpoints, now), names(&["a"]), "there is no other");
     endpoints.upsert(endpoint("b", "south"));
     assert_eq!(chosen(&endpoints, now), names(&["b"]));
     assert!(chosen(&endpoints, now + Duration::from_secs(3)).contains("a"));
-    assert!(endpoints.learn(now, key, Verdict::Answered(Duration::from_millis(10))), "it is back");
+    assert!(endpoints.learn(now, key, StepOutcome::Answered(Duration::from_millis(10))), "it is back");
 }
 
 /// Work goes to the nearer endpoint while it is idle, and to the farther one as the nearer fills or turns slow.
@@ -104,7 +104,7 @@
     assert_eq!(chosen(&endpoints, now), names(&["far"]));
     endpoints.end(near, 0);
     for _ in 0..20 {
-        endpoints.learn(now, near, Verdict::Answered(Duration::from_millis(400)));
+        endpoints.learn(now, near, StepOutcome::Answered(Duration::from_millis(400)));
     }
     assert_eq!(chosen(&endpoints, now), names(&["far"]));
     assert!(chosen(&endpoints, now + Duration::from_mins(1)).contains("near"), "old results fade");
@@ -117,7 +117,7 @@
     let decode = Need { stage: Some(Stage::Decode), ..need(&[]) };
     let key = endpoints.choose(now, decode, &mut rng).expect("one");
     assert!(endpoints.choose(now, Need { stage: Some(Stage::Prefill), ..decode }, &mut rng).is_none());
-    endpoints.learn(now, key, Verdict::Full);
+    endpoints.learn(now, key, StepOutcome::Full);
     assert!(endpoints.choose(now, decode, &mut rng).is_none());
     assert!(endpoints.choose(now + Duration::from_millis(500), decode, &mut rng).is_some());
 }
@@ -129,7 +129,7 @@
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(endpoint("a", "north"));
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
-    endpoints.retire(now, key);
+    endpoints.mark_ended(now, key);
     assert!(endpoints.choose(now, need(&[]), &mut rng).is_none());
     let mut other = Endpoints::default();
     for id in ["a", "b"] {
@@ -137,7 +137,7 @@
     }
     for peer in 1..=2 {
         for tag in endpoints.suspects(now) {
-            other.ledger().suspect(now, ([127, 0, 0, peer], 1).into(), tag);
+            other.ledger().report_suspect(now, ([127, 0, 0, peer], 1).into(), tag);
         }
     }
     let decode = Need { stage: Some(Stage::Decode), ..need(&[]) };
@@ -157,10 +157,10 @@
     }
     let decode = Need { stage: Some(Stage::Decode), ..need(&[]) };
     let one = endpoints.choose(now, decode, &mut rng).expect("one");
-    endpoints.learn(now, one, Verdict::Absent);
+    endpoints.learn(now, one, StepOutcome::Unreachable);
     let other = endpoints.choose(now, decode, &mut rng).expect("the other one");
     assert_ne!(one, other);
-    endpoints.learn(now, other, Verdict::Full);
+    endpoints.learn(now, other, StepOutcome::Full);
     assert!(endpoints.choose(now, decode, &mut rng).is_none());
 }
 
@@ -194,11 +194,11 @@
     endpoints.upsert(endpoint("fails", "north"));
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
     endpoints.upsert(endpoint("slow", "south"));
-    endpoints.learn(now, key, Verdict::Answered(Duration::from_millis(20)));
-    endpoints.learn(now, key, Verdict::Erred);
-    endpoints.learn(now, key, Verdict::Erred);
+    endpoints.learn(now, key, StepOutcome::Answered(Duration::from_millis(20)));
+    endpoints.learn(now, key, StepOutcome::ErrorResponse);
+    endpoints.learn(now, key, StepOutcome::ErrorResponse);
     assert!(endpoints.suspects(now).is_empty());
-    endpoints.learn(now, key, Verdict::Erred);
+    endpoints.learn(now, key, StepOutcome::ErrorResponse);
     assert_eq!(chosen(&endpoints, now), names(&["slow"]));
     assert_eq!(endpoints.suspects(now).len(), 1);
     assert!(chosen(&endpoints, now + Duration::from_mins(1)).contains("fails"), "old failures fade");
@@ -218,7 +218,7 @@
     assert_eq!(chosen(&endpoints, now), names(&["later"]), "a repeated entry changes nothing");
     let mut rng = rand::rng();
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
-    endpoints.retire(now, key);
+    endpoints.mark_ended(now, key);
     assert_eq!(chosen(&endpoints, now), names(&["former"]));
 }
 
@@ -242,8 +242,8 @@
         }
         count
     };
-    let refused = asked(&mut endpoints, Verdict::Full);
+    let refused = asked(&mut endpoints, StepOutcome::Full);
     assert!((5..12).contains(&refused), "{refused}");
-    endpoints.learn(now, key, Verdict::Answered(Duration::from_millis(10)));
-    assert_eq!(asked(&mut endpoints, Verdict::Answered(Duration::from_millis(10))), 300);
+    endpoints.learn(now, key, StepOutcome::Answered(Duration::from_millis(10)));
+    assert_eq!(asked(&mut endpoints, StepOutcome::Answered(Duration::from_millis(10))), 300);
 }
--- a/crates/routing/tests/all/lives.rs
+++ b/crates/routing/tests/all/incarnations.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use teaselshunt_routing::{Endpoint, EndpointKey, EndpointState, Endpoints, Listing, Need, Stage, Verdict};
+use teaselshunt_routing::{
+    Endpoint, EndpointKey, EndpointState, Endpoints, Need, Stage, StepOutcome, UpsertOutcome,
+};
 
 fn birth(number: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(number)
@@ -31,8 +33,8 @@
         tried: &[],
         tokens: 0,
         limit: None,
-        spare: 0,
-        reads: false,
+        headroom: 0,
+        local_prefill: false,
         hedge: false,
     };
     endpoints.choose(now, need, &mut rand::rng())
@@ -46,7 +48,7 @@
     endpoints.upsert(decoder("a", 1));
     endpoints.upsert(Endpoint { state: EndpointState::Leaving, ..decoder("a", 1) });
     assert!(choose(&endpoints, now).is_none());
-    assert_eq!(endpoints.upsert(decoder("a", 2)), Listing::Started);
+    assert_eq!(endpoints.upsert(decoder("a", 2)), UpsertOutcome::Started);
     assert!(choose(&endpoints, now).is_some());
     // What the former start wrote arrives late.
     endpoints.upsert(Endpoint { state: EndpointState::Leaving, ..decoder("a", 1) });
@@ -63,7 +65,7 @@
     endpoints.upsert(decoder("a", 1));
     let former = choose(&endpoints, now).expect("it is listed");
     endpoints.begin(now, former, 9_000);
-    endpoints.learn(now, former, Verdict::Absent);
+    endpoints.learn(now, former, StepOutcome::Unreachable);
     endpoints.upsert(Endpoint { address: ([10, 0, 0, 2], 80).into(), ..decoder("a", 2) });
     let key = choose(&endpoints, now).expect("it is back");
     assert_ne!(key, former);
@@ -100,12 +102,12 @@
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(decoder("a", 1));
     let key = choose(&endpoints, now).expect("it is listed");
-    assert!(endpoints.withdraw("a"));
+    assert!(endpoints.invalidate("a"));
     assert!(choose(&endpoints, now).is_none());
     endpoints.upsert(decoder("a", 1));
     assert_eq!(choose(&endpoints, now), Some(key));
     endpoints.upsert(Endpoint { state: EndpointState::Leaving, ..decoder("a", 1) });
-    endpoints.withdraw("a");
+    endpoints.invalidate("a");
     endpoints.upsert(decoder("a", 1));
     assert!(choose(&endpoints, now).is_none());
 }
@@ -115,7 +117,7 @@
 fn an_entry_without_a_birth_is_not_of_an_endpoint_that_told_one() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(decoder("a", 1));
-    assert_eq!(endpoints.upsert(Endpoint { born: None, ..decoder("a", 1) }), Listing::Foreign);
+    assert_eq!(endpoints.upsert(Endpoint { born: None, ..decoder("a", 1) }), UpsertOutcome::Foreign);
     assert!(choose(&endpoints, now).is_none());
     endpoints.upsert(decoder("a", 1));
     assert!(choose(&endpoints, now).is_some());
@@ -127,7 +129,7 @@
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(Endpoint { born: None, ..decoder("a", 1) });
     let key = choose(&endpoints, now);
-    assert_eq!(endpoints.upsert(decoder("a", 1)), Listing::Changed);
+    assert_eq!(endpoints.upsert(decoder("a", 1)), UpsertOutcome::Changed);
     assert_eq!(choose(&endpoints, now), key);
 }
 
@@ -163,7 +165,7 @@
     }
     // If it is the later one that is not there, the answer at the address shows it.
     let later = choose(&endpoints, now).expect("the later one");
-    endpoints.retire(now, later);
+    endpoints.mark_ended(now, later);
     assert_eq!(
         &*endpoints.get(choose(&endpoints, now).expect("the former one")).expect("listed").id,
         "former"
@@ -243,7 +245,7 @@
                     endpoints.upsert(Endpoint { state, ..decoder(&id.to_string(), u64::from(born)) });
                 }
                 Step::Unreadable { id } => {
-                    endpoints.withdraw(&id.to_string());
+                    endpoints.invalidate(&id.to_string());
                 }
                 Step::Gone { id } => {
                     endpoints.remove(&id.to_string());
--- a/crates/routing/tests/all/ledger.rs
+++ b/crates/routing/tests/all/ledger.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use teaselshunt_routing::{
-    Endpoint, EndpointKey, EndpointState, Endpoints, EngineTag, Ledger, Need, Pace, Stage,
+    Endpoint, EndpointKey, EndpointState, Endpoints, EngineTag, Ledger, Need, PrefillEstimate, Stage,
 };
 
 fn peer(number: u8) -> SocketAddr {
@@ -36,7 +36,7 @@
         }
         (0..8).map(EngineTag).all(|tag| {
             let sum: u64 = newest.values().filter_map(|(_, t)| t.get(&tag)).map(|&n| u64::from(n)).sum();
-            ledger.others(tag) == sum
+            ledger.in_flight(tag) == sum
         })
     }
 }
@@ -49,7 +49,7 @@
     ledger.update(now, peer(1), (1, 1), HashMap::from([(tag, 500)]));
     ledger.update(now + Duration::from_secs(2), peer(2), (1, 1), HashMap::from([(tag, 70)]));
     ledger.expire(now + Duration::from_secs(2));
-    assert_eq!(ledger.others(tag), 70);
+    assert_eq!(ledger.in_flight(tag), 70);
 }
 
 /// An instance starts again, and its machine's clock has gone back meanwhile. What it tells counts from its first digest on:
@@ -59,9 +59,9 @@
     let (mut ledger, now, tag) = (Ledger::default(), Instant::now(), EngineTag::of("g-1", None));
     ledger.update(now, peer(1), (9, 5_000), HashMap::from([(tag, 500)]));
     ledger.update(now, peer(1), (4, 1), HashMap::from([(tag, 70)]));
-    assert_eq!(ledger.others(tag), 70);
+    assert_eq!(ledger.in_flight(tag), 70);
     ledger.update(now, peer(1), (4, 1), HashMap::from([(tag, 900)]));
-    assert_eq!(ledger.others(tag), 70);
+    assert_eq!(ledger.in_flight(tag), 70);
 }
 
 fn engines(count: usize, stage: Stage) -> Endpoints {
@@ -94,8 +94,8 @@
         tried: &[],
         tokens: 4_000,
         limit,
-        spare: 0,
-        reads: false,
+        headroom: 0,
+        local_prefill: false,
         hedge: false,
     };
     endpoints.choose(now, need, rng)
@@ -155,8 +155,8 @@
         tried: &[],
         tokens: 4_000,
         limit: Some(30_000),
-        spare: 4_000,
-        reads: false,
+        headroom: 4_000,
+        local_prefill: false,
         hedge: false,
     };
     endpoints.ledger().update(now, peer(1), (1, 1), HashMap::from([(tag, 24_000)]));
@@ -175,7 +175,7 @@
     let key = choose(&endpoints, now, Stage::Decode, Some(10_000), &mut rng).expect("one");
     endpoints.begin(now, key, 4_000);
     assert!(choose(&endpoints, now, Stage::Decode, Some(10_000), &mut rng).is_some());
-    endpoints.grow(key, 3_000);
+    endpoints.add_tokens(key, 3_000);
     assert!(choose(&endpoints, now, Stage::Decode, Some(10_000), &mut rng).is_none());
     endpoints.end(key, 7_000);
     assert_eq!(endpoints.load(key), 0);
@@ -185,15 +185,15 @@
 /// can't be served in time are turned away before they are sent.
 #[test]
 fn the_pace_follows_what_prefill_takes() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillEstimate::default();
     for _ in 0..60 {
         pace.learn(10_000, Duration::from_millis(300));
     }
-    assert!(pace.expect(10_000).abs_diff(Duration::from_millis(300)) < Duration::from_millis(15));
+    assert!(pace.predict(10_000).abs_diff(Duration::from_millis(300)) < Duration::from_millis(15));
     for _ in 0..60 {
         pace.learn(10_000, Duration::from_millis(900));
     }
-    assert!(pace.expect(20_000) > Duration::from_millis(1_700));
+    assert!(pace.predict(20_000) > Duration::from_millis(1_700));
 }
 
 /// Engines were slow to reach for some seconds, and the pace learned from that says that no prompt can be read in time.
@@ -201,7 +201,7 @@
 /// every generation for good.
 #[test]
 fn a_bad_pace_does_not_forbid_idle_engines() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillEstimate::default();
     for _ in 0..60 {
         pace.learn(100, Duration::from_secs(1));
     }
--- a/crates/routing/tests/all/reads.rs
+++ b/crates/routing/tests/all/local_prefill.rs
@@ -38,7 +38,7 @@
     endpoints
 }
 
-fn need(reads: bool) -> Need<'static> {
+fn need(local_prefill: bool) -> Need<'static> {
     Need {
         service: "model",
         stage: Some(Stage::Decode),
@@ -46,8 +46,8 @@
         tried: &[],
         tokens: TOKENS,
         limit: Some(33_000),
-        spare: 0,
-        reads,
+        headroom: 0,
+        local_prefill,
         hedge: false,
     }
 }
@@ -64,12 +64,12 @@
         let (ended, going): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| now >= r.3 + READ);
         running = going;
         for (owner, key, ..) in ended {
-            instances[owner].end_read(key);
+            instances[owner].end_local_prefill(key);
         }
         for &(owner, _, tag, begun) in &running {
             for (index, other) in instances.iter_mut().enumerate() {
                 if index != owner && now >= begun + NEWS {
-                    other.ledger().reads(now, tag);
+                    other.ledger().report_local_prefill(now, tag);
                 }
             }
         }
@@ -82,7 +82,7 @@
                 let Some(key) = instances[index].choose(now, need(reads), &mut rng) else { break };
                 let tag = EngineTag::of(&instances[index].get(key).expect("it is listed").id, None);
                 overlaps += usize::from(running.iter().any(|r| r.2 == tag));
-                instances[index].begin_read(key);
+                instances[index].begin_local_prefill(key);
                 instances[index].begin(now, key, TOKENS);
                 running.push((index, key, tag, now));
                 waiting[index] -= 1;
@@ -117,7 +117,7 @@
 fn a_read_of_which_nothing_more_is_heard_ends() {
     let (mut endpoints, now, mut rng) = (engines(), Instant::now(), SmallRng::seed_from_u64(1));
     for number in 0..ENGINES {
-        endpoints.ledger().reads(now, EngineTag::of(&format!("g-{number}"), None));
+        endpoints.ledger().report_local_prefill(now, EngineTag::of(&format!("g-{number}"), None));
     }
     assert!(endpoints.choose(now, need(true), &mut rng).is_none());
     assert!(endpoints.choose(now, need(false), &mut rng).is_some(), "others may go there");
--- a/crates/routing/tests/all/main.rs
+++ b/crates/routing/tests/all/main.rs
@@ -1,20 +1,20 @@
 //! Decisions without input or output.
 
-mod allowances;
+mod backoff;
 mod budget;
 mod changes;
 mod endpoints;
-mod holders;
+mod incarnations;
 mod ledger;
-mod lives;
-mod looks;
+mod local_prefill;
 mod memory;
-mod news;
-mod outputs;
-mod patience;
+mod output_estimate;
 mod peers;
 mod rates;
-mod reads;
+mod retry_detection;
 mod routes;
 mod sends;
+mod snapshot_sources;
 mod stages;
+mod store_updates;
+mod wait_policy;
--- a/crates/routing/tests/all/outputs.rs
+++ b/crates/routing/tests/all/output_estimate.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use teaselshunt_routing::Outputs;
+use teaselshunt_routing::OutputEstimate;
 
 /// Tokens in an event of the engines that are imitated.
 const EVENT: f64 = 11.0;
@@ -19,9 +19,9 @@
 #[test]
 fn expectations_lie_between_the_estimate_and_the_usual() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut outputs = Outputs::default();
-    assert_eq!(outputs.expect(1_500), 1_500, "nothing is known yet");
-    assert_eq!(outputs.made(10), None);
+    let mut outputs = OutputEstimate::default();
+    assert_eq!(outputs.predict(1_500), 1_500, "nothing is known yet");
+    assert_eq!(outputs.tokens_for_events(10), None);
     let mut draw = move || {
         let tokens = (580.0_f64.ln() + 0.7 * normal(&mut rng)).exp();
         let hint = (tokens.ln() + 0.5 * normal(&mut rng)).exp();
@@ -35,9 +35,9 @@
     for _ in 0..2_000 {
         let (tokens, hint) = draw();
         before += (hint as f64 - tokens).powi(2);
-        after += (outputs.expect(hint) as f64 - tokens).powi(2);
+        after += (outputs.predict(hint) as f64 - tokens).powi(2);
     }
     assert!(after < before / 2.0, "{after} {before}");
-    let made = outputs.made(100).expect("enough was learned") as f64;
+    let made = outputs.tokens_for_events(100).expect("enough was learned") as f64;
     assert!((made / (100.0 * EVENT) - 1.0).abs() < 0.15, "{made}");
 }
--- a/crates/routing/tests/all/peers.rs
+++ b/crates/routing/tests/all/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use teaselshunt_routing::{HEARTBEAT, Peers};
+use teaselshunt_routing::{HEARTBEAT_INTERVAL, Peers};
 
 /// Three instances know one another, and the third dies. The other two go on naming whom they know to each other. Both
 /// must forget the dead one; otherwise each hears of it again from the other, and sends to it for ever.
@@ -12,20 +12,20 @@
     let start = Instant::now();
     let mut instances = [Peers::new(0), Peers::new(0)];
     for instance in &mut instances {
-        assert!(instance.heard(start, 3, 0, Duration::ZERO));
-        assert!(!instance.heard(start, 3, 0, Duration::ZERO));
+        assert!(instance.observe(start, 3, 0, Duration::ZERO));
+        assert!(!instance.observe(start, 3, 0, Duration::ZERO));
     }
     let mut forgotten = 0;
     for step in 1..200_u64 {
         let now = start + Duration::from_millis(step * 100);
         for index in 0..2 {
-            let named: Vec<i32> = instances[1 - index].fresh(now).collect();
-            instances[index].heard(now, 2 - index as i32, 0, Duration::ZERO);
+            let named: Vec<i32> = instances[1 - index].responsive(now).collect();
+            instances[index].observe(now, 2 - index as i32, 0, Duration::ZERO);
             // An instance does not take itself for a peer.
             for peer in named.into_iter().filter(|&p| p != index as i32 + 1) {
-                instances[index].named(now, peer);
+                instances[index].add_reported(now, peer);
             }
-            forgotten += instances[index].forget(now).len();
+            forgotten += instances[index].remove_unresponsive(now).len();
         }
     }
     assert_eq!(forgotten, 2, "each has forgotten it once");
@@ -37,13 +37,13 @@
 #[test]
 fn a_named_peer_must_be_heard_to_stay() {
     let (mut peers, start) = (Peers::new(0), Instant::now());
-    peers.named(start, 1);
+    peers.add_reported(start, 1);
     assert!(peers.contains(1));
-    assert_eq!(peers.fresh(start).count(), 0);
-    assert!(peers.forget(start + Duration::from_secs(5)).is_empty());
+    assert_eq!(peers.responsive(start).count(), 0);
+    assert!(peers.remove_unresponsive(start + Duration::from_secs(5)).is_empty());
     assert!(peers.is_empty());
-    peers.named(start, 2);
-    assert!(peers.heard(start, 2, 0, Duration::ZERO), "heard for the first time");
+    peers.add_reported(start, 2);
+    assert!(peers.observe(start, 2, 0, Duration::ZERO), "heard for the first time");
     assert_eq!(peers.due(start), [2]);
 }
 
@@ -57,13 +57,13 @@
     for step in 0..2_000_u32 {
         let now = start + Duration::from_millis(5) * step;
         for peer in 0..count {
-            peers.heard(now, peer, u32::from(peer >= near), Duration::ZERO);
+            peers.observe(now, peer, u32::from(peer >= near), Duration::ZERO);
         }
         if now >= next {
             for peer in peers.due(now) {
                 told[peer as usize].push(now);
             }
-            next = now + peers.pace();
+            next = now + peers.min_interval();
         }
     }
     let span = |peers: &[Vec<Instant>]| {
@@ -83,7 +83,7 @@
     let (near, far, longest) = tellings(24, 49);
     assert!(near[0] >= 90, "{near:?}");
     assert!((48..=52).contains(&far[0]) && far[1] <= 52, "{far:?}");
-    assert!(longest <= HEARTBEAT + Duration::from_millis(110), "{longest:?}");
+    assert!(longest <= HEARTBEAT_INTERVAL + Duration::from_millis(110), "{longest:?}");
 }
 
 /// Where there are few, news is quick everywhere: six instances of a small site choose among few engines.
@@ -107,16 +107,16 @@
 fn a_peer_that_waits_for_its_turn_is_not_taken_for_dead() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..1_200 {
-        peers.heard(start, peer, peer % 6, Duration::ZERO);
+        peers.observe(start, peer, peer % 6, Duration::ZERO);
     }
-    let (near, far) = (peers.turn(Some(0)), peers.turn(Some(1)));
+    let (near, far) = (peers.gossip_interval(Some(0)), peers.gossip_interval(Some(1)));
     assert!(near < far, "{near:?} {far:?}");
     let mut hearer = Peers::new(0);
-    hearer.heard(start, 1, 0, near);
-    hearer.heard(start, 2, 1, far);
-    assert_eq!(hearer.near(start + near * 2).collect::<Vec<_>>(), [1]);
-    assert_eq!(hearer.fresh(start + far * 2).collect::<Vec<_>>(), [2]);
-    assert!(!hearer.forget(start + far * 2).contains(&2));
+    hearer.observe(start, 1, 0, near);
+    hearer.observe(start, 2, 1, far);
+    assert_eq!(hearer.responsive_in_domain(start + near * 2).collect::<Vec<_>>(), [1]);
+    assert_eq!(hearer.responsive(start + far * 2).collect::<Vec<_>>(), [2]);
+    assert!(!hearer.remove_unresponsive(start + far * 2).contains(&2));
 }
 
 /// Where there are few, silence is noticed as soon as ever.
@@ -124,12 +124,12 @@
 fn a_death_among_few_is_noticed_soon() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..8 {
-        peers.heard(start, peer, peer % 4, Duration::ZERO);
+        peers.observe(start, peer, peer % 4, Duration::ZERO);
     }
     let mut hearer = Peers::new(0);
-    hearer.heard(start, 1, 0, peers.turn(Some(1)));
+    hearer.observe(start, 1, 0, peers.gossip_interval(Some(1)));
     let later = start + Duration::from_millis(1_500);
-    assert_eq!(hearer.fresh(later).count(), 0);
+    assert_eq!(hearer.responsive(later).count(), 0);
 }
 
 /// A crash under a request is told for three seconds. Among twelve hundred instances all have their turn by then; with pauses
@@ -138,12 +138,12 @@
 fn news_that_is_told_for_seconds_reaches_all() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..1_200 {
-        peers.heard(start, peer, peer % 6, Duration::from_secs(30));
+        peers.observe(start, peer, peer % 6, Duration::from_secs(30));
     }
     let (mut told, mut now) = (HashSet::new(), start);
     while now < start + Duration::from_secs(3) {
         told.extend(peers.due(now));
-        now += peers.pace() + peers.pause(true);
+        now += peers.min_interval() + peers.round_pause(true);
     }
     assert_eq!(told.len(), 1_200);
 }
@@ -154,14 +154,17 @@
 fn only_instances_that_are_silent_alone_keep_their_part() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..8_u8 {
-        peers.heard(start, peer, u32::from(peer % 4), Duration::ZERO);
+        peers.observe(start, peer, u32::from(peer % 4), Duration::ZERO);
     }
-    assert!((peers.part(start) - 1.0).abs() < 1e-9);
+    assert!((peers.reachable_share(start) - 1.0).abs() < 1e-9);
     let later = start + Duration::from_secs(2);
     for peer in (0..8).filter(|peer| peer % 4 != 1 && *peer != 2) {
-        peers.heard(later, peer, u32::from(peer % 4), Duration::ZERO);
+        peers.observe(later, peer, u32::from(peer % 4), Duration::ZERO);
     }
-    assert!((peers.part(later) - 6.0 / 7.0).abs() < 1e-9, "domain 1 is cut off, one of domain 2 is silent");
-    peers.forget(start + Duration::from_secs(10));
-    assert!((peers.part(later) - 1.0).abs() < 1e-9);
+    assert!(
+        (peers.reachable_share(later) - 6.0 / 7.0).abs() < 1e-9,
+        "domain 1 is cut off, one of domain 2 is silent"
+    );
+    peers.remove_unresponsive(start + Duration::from_secs(10));
+    assert!((peers.reachable_share(later) - 1.0).abs() < 1e-9);
 }
--- a/crates/routing/tests/all/rates.rs
+++ b/crates/routing/tests/all/rates.rs
@@ -7,8 +7,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use teaselshunt_routing::{
-    Endpoint, EndpointState, Endpoints, EngineTag, Need, Pacing, RateChange, RateNews, RateWord, Rates,
-    Refused,
+    Endpoint, EndpointState, Endpoints, EngineTag, Need, Pacing, RateChange, RateObservation, RateReport,
+    Rates, Refusals,
 };
 
 const DESK: EngineTag = EngineTag(1);
@@ -17,18 +17,18 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn word(rate: Option<f64>, age: f64) -> RateWord {
-    RateWord { rate, age: seconds(age) }
+fn word(rate: Option<f64>, age: f64) -> RateObservation {
+    RateObservation { rate, age: seconds(age) }
 }
 
-fn sends(total: u32, recent: u32) -> RateNews {
-    RateNews { endpoint: DESK, word: None, total, recent }
+fn sends(total: u32, recent: u32) -> RateReport {
+    RateReport { endpoint: DESK, observation: None, total, recent }
 }
 
 /// Rates of which the endpoint has just named one, and a time some seconds later, when the level is at its highest.
 fn limited(rate: f64) -> (Rates<u8>, Instant) {
     let (mut rates, now) = (Rates::new(Pacing::Proportional), Instant::now());
-    assert_eq!(rates.answered(now, DESK, Some(rate)), Some(RateChange::Limited(rate)));
+    assert_eq!(rates.observe_response(now, DESK, Some(rate)), Some(RateChange::Limited(rate)));
     (rates, now + seconds(20.0))
 }
 
@@ -40,15 +40,15 @@
 #[test]
 fn an_older_word_that_comes_late_takes_nothing_back() {
     let (mut rates, now) = limited(4.0);
-    rates.answered(now, DESK, Some(2.0));
-    assert_eq!(rates.told_word(now, DESK, word(Some(8.0), 1.0)), None);
-    assert_eq!(rates.told_word(now, DESK, word(None, 1.0)), None);
+    rates.observe_response(now, DESK, Some(2.0));
+    assert_eq!(rates.merge_observation(now, DESK, word(Some(8.0), 1.0)), None);
+    assert_eq!(rates.merge_observation(now, DESK, word(None, 1.0)), None);
     assert_eq!(rates.rate(DESK), Some(2.0));
-    assert_eq!(rates.answered(now, DESK, None), Some(RateChange::Ended));
-    assert_eq!(rates.told_word(now, DESK, word(Some(2.0), 1.0)), None, "it has ended since");
+    assert_eq!(rates.observe_response(now, DESK, None), Some(RateChange::Ended));
+    assert_eq!(rates.merge_observation(now, DESK, word(Some(2.0), 1.0)), None, "it has ended since");
     assert!(!rates.is_limited(DESK));
     let later = now + seconds(5.0);
-    assert_eq!(rates.told_word(later, DESK, word(Some(3.0), 1.0)), Some(RateChange::Limited(3.0)));
+    assert_eq!(rates.merge_observation(later, DESK, word(Some(3.0), 1.0)), Some(RateChange::Limited(3.0)));
 }
 
 /// An instance that has not asked an endpoint lately goes by what others were told, and passes on only what it was told
@@ -56,14 +56,14 @@
 #[test]
 fn words_are_passed_on_once() {
     let (mut rates, now) = (Rates::<u8>::default(), Instant::now() + seconds(60.0));
-    rates.told_word(now, DESK, word(Some(4.0), 0.5));
+    rates.merge_observation(now, DESK, word(Some(4.0), 0.5));
     assert!(rates.is_limited(DESK));
-    assert!(rates.news(now).is_empty());
-    rates.answered(now, DESK, Some(4.0));
-    assert_eq!(rates.news(now)[0].word, Some(word(Some(4.0), 0.0)));
-    rates.answered(now, DESK, None);
-    assert_eq!(rates.news(now + seconds(1.0))[0].word, Some(word(None, 1.0)));
-    assert!(rates.news(now + seconds(60.0)).is_empty(), "nothing is told when nobody names a rate");
+    assert!(rates.reports(now).is_empty());
+    rates.observe_response(now, DESK, Some(4.0));
+    assert_eq!(rates.reports(now)[0].observation, Some(word(Some(4.0), 0.0)));
+    rates.observe_response(now, DESK, None);
+    assert_eq!(rates.reports(now + seconds(1.0))[0].observation, Some(word(None, 1.0)));
+    assert!(rates.reports(now + seconds(60.0)).is_empty(), "nothing is told when nobody names a rate");
 }
 
 /// Tellings are lost, come twice, and begin anew with each life of their sender; what it sent counts once.
@@ -71,14 +71,14 @@
 fn what_another_instance_sent_counts_once() {
     let (mut rates, now) = limited(10.0);
     let full = level(&rates, now);
-    rates.told_sends(now, 7, 1, sends(2, 2));
-    rates.told_sends(now, 7, 1, sends(2, 2));
+    rates.merge_sends(now, 7, 1, sends(2, 2));
+    rates.merge_sends(now, 7, 1, sends(2, 2));
     assert!((level(&rates, now) - (full - 2.0)).abs() < 1e-6);
-    rates.told_sends(now, 7, 1, sends(5, 5));
+    rates.merge_sends(now, 7, 1, sends(5, 5));
     assert!((level(&rates, now) - (full - 5.0)).abs() < 1e-6, "a telling between was lost");
-    rates.told_sends(now, 7, 2, sends(1, 1));
+    rates.merge_sends(now, 7, 2, sends(1, 1));
     assert!((level(&rates, now) - (full - 6.0)).abs() < 1e-6, "it has started again");
-    rates.told_sends(now, 8, 1, sends(900, 1));
+    rates.merge_sends(now, 8, 1, sends(900, 1));
     assert!((level(&rates, now) - (full - 7.0)).abs() < 1e-6, "heard first long after it began");
 }
 
@@ -87,10 +87,10 @@
 fn what_did_not_reach_the_endpoint_is_given_back() {
     let (mut rates, now) = limited(10.0);
     let full = level(&rates, now);
-    rates.give_back(now, DESK);
+    rates.refund(now, DESK);
     assert!((level(&rates, now) - full).abs() < 1e-6, "it was never taken");
-    rates.take(now, DESK);
-    rates.give_back(now, DESK);
+    rates.charge(now, DESK);
+    rates.refund(now, DESK);
     assert!((level(&rates, now) - full).abs() < 1e-6);
 }
 
@@ -99,12 +99,12 @@
 fn a_rate_of_nothing_lets_a_request_through_now_and_then() {
     let (mut rates, now) = limited(0.0);
     for request in 0..20 {
-        rates.take(now, DESK);
-        assert!(rates.room(now, DESK) < 1.0 || request < 2);
+        rates.charge(now, DESK);
+        assert!(rates.admitted_share(now, DESK) < 1.0 || request < 2);
     }
-    assert!(rates.room(now, DESK) <= 0.0);
-    assert!(rates.room(now + seconds(60.0), DESK) > 0.0);
-    assert!(rates.room(now + seconds(60.0), DESK) <= 1.0);
+    assert!(rates.admitted_share(now, DESK) <= 0.0);
+    assert!(rates.admitted_share(now + seconds(60.0), DESK) > 0.0);
+    assert!(rates.admitted_share(now + seconds(60.0), DESK) <= 1.0);
 }
 
 /// A cut halves what each side may send; a new rate counts from when it is named.
@@ -112,12 +112,12 @@
 fn a_part_and_a_new_rate_count_from_now_on() {
     let (mut rates, now) = limited(10.0);
     for _ in 0..7 {
-        rates.take(now, DESK);
+        rates.charge(now, DESK);
     }
     let before = level(&rates, now);
     rates.share_among(now, 8, 0.5);
     assert!((level(&rates, now + seconds(0.1)) - before - 0.5).abs() < 1e-6);
-    rates.answered(now + seconds(0.1), DESK, Some(20.0));
+    rates.observe_response(now + seconds(0.1), DESK, Some(20.0));
     assert!((level(&rates, now + seconds(0.2)) - before - 1.5).abs() < 1e-6);
 }
 
@@ -142,7 +142,7 @@
     endpoints.upsert(listed("b", 1));
     let key = endpoints.key_of("a").expect("listed");
     let tag = endpoints.tag(key).expect("listed");
-    endpoints.rates().answered(now, tag, Some(4.0));
+    endpoints.rates().observe_response(now, tag, Some(4.0));
     endpoints
 }
 
@@ -160,7 +160,7 @@
     let now = Instant::now();
     let endpoints = one_used_up(now);
     assert_eq!(chosen(&endpoints, now, NEED), HashMap::from([("b".to_owned(), 400)]));
-    assert!(endpoints.limited_to(now, "desk", None).is_none(), "one names none");
+    assert!(endpoints.total_rate(now, "desk", None).is_none(), "one names none");
     let later = now + seconds(10.0);
     assert!(chosen(&endpoints, later, NEED).contains_key("a"), "there is room again");
     assert!(!chosen(&endpoints, later, Need { hedge: true, ..NEED }).contains_key("a"));
@@ -188,14 +188,14 @@
     let tags = keys.map(|key| endpoints.tag(key).expect("listed"));
     let mut rng = SmallRng::seed_from_u64(3);
     for tag in tags {
-        endpoints.rates().answered(now, tag, Some(4.0));
+        endpoints.rates().observe_response(now, tag, Some(4.0));
     }
-    assert_eq!(endpoints.limited_to(now, "desk", None), Some(8.0));
+    assert_eq!(endpoints.total_rate(now, "desk", None), Some(8.0));
     let mut sent = 0;
     for _ in 0..80 * 20 {
         now += seconds(1.0 / 80.0);
         if let Some(key) = endpoints.choose(now, NEED, &mut rng) {
-            endpoints.send(now, key);
+            endpoints.charge_rate(now, key);
             sent += 1;
         }
     }
@@ -205,12 +205,12 @@
 /// Callers who are refused are spread over the time in which what endpoints take suffices for all of them.
 #[test]
 fn refused_callers_come_back_as_fast_as_they_can_be_served() {
-    let (mut refused, now, desk) = (Refused::default(), Instant::now(), Arc::from("desk"));
-    assert!(!refused.is_pressed(now, &desk));
-    assert_eq!(refused.refuse(now, &desk, 8.0, 2), seconds(0.25));
-    assert!(refused.is_pressed(now, &desk));
-    assert_eq!(refused.refuse(now, &desk, 8.0, 2), seconds(0.5));
-    assert_eq!(refused.refuse(now + seconds(9.0), &desk, 8.0, 2), seconds(0.25));
-    assert!(refused.refuse(now, &desk, 0.0, 2) <= seconds(10.0));
-    assert!(!refused.is_pressed(now + seconds(11.0), &desk));
+    let (mut refused, now, desk) = (Refusals::default(), Instant::now(), Arc::from("desk"));
+    assert!(!refused.is_overloaded(now, &desk));
+    assert_eq!(refused.record(now, &desk, 8.0, 2), seconds(0.25));
+    assert!(refused.is_overloaded(now, &desk));
+    assert_eq!(refused.record(now, &desk, 8.0, 2), seconds(0.5));
+    assert_eq!(refused.record(now + seconds(9.0), &desk, 8.0, 2), seconds(0.25));
+    assert!(refused.record(now, &desk, 0.0, 2) <= seconds(10.0));
+    assert!(!refused.is_overloaded(now + seconds(11.0), &desk));
 }
--- a/crates/routing/tests/all/routes.rs
+++ b/crates/routing/tests/all/routes.rs
@@ -57,10 +57,10 @@
 #[test]
 fn services_are_drawn_by_weight() {
     let (route, mut rng) = (route("x", "/"), rand::rng());
-    let drawn = (0..10_000).filter(|_| route.draw(&mut rng).is_some_and(|s| &**s == "b")).count();
+    let drawn = (0..10_000).filter(|_| route.pick_service(&mut rng).is_some_and(|s| &**s == "b")).count();
     assert!((700..1300).contains(&drawn), "{drawn}");
     let none = Route { targets: Vec::new(), ..route };
-    assert!(none.draw(&mut rng).is_none());
+    assert!(none.pick_service(&mut rng).is_none());
 }
 
 /// An endpoint accepts a hundred connections. Nine instances may keep several idle ones each; three hundred may keep one
@@ -68,7 +68,11 @@
 #[test]
 fn many_instances_keep_fewer_idle_connections() {
     let service = Service { name: Arc::from("desk"), connections: 100, engine: None };
-    assert_eq!(service.idle_share(9), 6);
-    assert_eq!(service.idle_share(300), 1);
-    assert_eq!(Service { connections: 0, ..service }.idle_share(300), usize::MAX, "nothing is said");
+    assert_eq!(service.max_idle_connections(9), 6);
+    assert_eq!(service.max_idle_connections(300), 1);
+    assert_eq!(
+        Service { connections: 0, ..service }.max_idle_connections(300),
+        usize::MAX,
+        "nothing is said"
+    );
 }
--- a/crates/routing/tests/all/holders.rs
+++ b/crates/routing/tests/all/snapshot_sources.rs
@@ -8,7 +8,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use teaselshunt_routing::{Era, Holders, Peers, Search, Source, Supply};
+use teaselshunt_routing::{Era, Peers, SnapshotSearch, SnapshotSources, SnapshotStep, UpdateSource};
 
 /// Time between two rounds of digests.
 const ROUND: Duration = Duration::from_millis(100);
@@ -17,11 +17,11 @@
 /// Copies that a holder gives at a time.
 const COPIES: u32 = 3;
 const PATIENCE: Duration = Duration::from_secs(5);
-const ERA: Era = Era::told(None);
+const ERA: Era = Era::new(None);
 
 struct Member {
     peers: Peers<u32>,
-    holders: Holders<u32>,
+    holders: SnapshotSources<u32>,
     /// Round from which it has the list.
     has: Option<u32>,
     /// Until when it copies, and from whom.
@@ -44,7 +44,7 @@
     fn new(count: u32, domains: u32) -> Self {
         let member = |n: u32| Member {
             peers: Peers::new(n % domains),
-            holders: Holders::default(),
+            holders: SnapshotSources::default(),
             has: None,
             copies: None,
             down: false,
@@ -72,11 +72,12 @@
                 continue;
             }
             let sender = &mut self.members[from as usize];
-            sender.peers.forget(now);
+            sender.peers.remove_unresponsive(now);
             let mut targets = sender.peers.due(now);
             targets.extend(seeds.into_iter().filter(|&seed| seed != from && !sender.peers.contains(seed)));
             let revision = sender.has.map(|_| 1);
-            let next = [sender.peers.turn(Some(from % self.domains)), sender.peers.turn(None)];
+            let next =
+                [sender.peers.gossip_interval(Some(from % self.domains)), sender.peers.gossip_interval(None)];
             let domain_of = |to: u32| sender.peers.domain_of(to);
             let domains: Vec<Option<u32>> = targets.iter().map(|&to| domain_of(to)).collect();
             let mut by_domain = HashMap::new();
@@ -84,22 +85,25 @@
                 let sender = &self.members[from as usize];
                 let named: &Vec<u32> = by_domain
                     .entry(domain)
-                    .or_insert_with(|| sender.peers.to_name(now, domain, &mut self.rng));
+                    .or_insert_with(|| sender.peers.sample_for(now, domain, &mut self.rng));
                 let hearer = &mut self.members[to as usize];
                 if hearer.down || self.rng.random_bool(0.02) {
                     continue;
                 }
                 let near = from % self.domains == to % self.domains;
-                hearer.peers.heard(now, from, from % self.domains, next[usize::from(!near)]);
-                named.iter().filter(|&&peer| peer != to).for_each(|&peer| hearer.peers.named(now, peer));
+                hearer.peers.observe(now, from, from % self.domains, next[usize::from(!near)]);
+                named
+                    .iter()
+                    .filter(|&&peer| peer != to)
+                    .for_each(|&peer| hearer.peers.add_reported(now, peer));
                 if near {
-                    hearer.holders.told(from, ERA, revision);
+                    hearer.holders.observe(from, ERA, revision);
                 }
             }
         }
     }
 
-    fn act(&mut self, member: u32, up: Duration, missing: Duration) {
+    fn act(&mut self, member: u32, uptime: Duration, missing_for: Duration) {
         let now = self.now();
         let Member { peers, holders, copies, .. } = &self.members[member as usize];
         if let Some((until, _)) = copies {
@@ -109,23 +113,23 @@
             }
             return;
         }
-        let source = Source::of(&member, peers.near(now));
-        let search = Search {
+        let source = UpdateSource::of(&member, peers.responsive_in_domain(now));
+        let search = SnapshotSearch {
             era: ERA,
-            beyond: None,
+            newer_than: None,
             tried: Vec::new(),
-            missing,
-            patience: PATIENCE,
-            hope: PATIENCE,
-            up,
+            missing_for,
+            busy_timeout: PATIENCE,
+            no_source_timeout: PATIENCE,
+            uptime,
         };
         match holders.next(&search, source, &mut self.rng) {
-            Supply::Wait => {}
-            Supply::Store => {
+            SnapshotStep::Wait => {}
+            SnapshotStep::Store => {
                 self.reads += 1;
                 self.members[member as usize].has = Some(self.round);
             }
-            Supply::Peer(holder) => {
+            SnapshotStep::Peer(holder) => {
                 let busy = self.members.iter().filter(|m| m.copies.is_some_and(|(_, from)| from == holder));
                 let gives = self.members[holder as usize].has.is_some() && busy.count() < COPIES as usize;
                 if gives {
@@ -185,42 +189,46 @@
 #[test]
 fn nobody_waits_for_a_holder_for_ever() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let holders = Holders::<u32>::default();
-    let search = |missing: Duration| Search {
+    let holders = SnapshotSources::<u32>::default();
+    let search = |missing_for: Duration| SnapshotSearch {
         era: ERA,
-        beyond: Some(7),
+        newer_than: Some(7),
         tried: Vec::new(),
-        missing,
-        patience: PATIENCE,
-        hope: PATIENCE / 4,
-        up: Duration::from_mins(1),
+        missing_for,
+        busy_timeout: PATIENCE,
+        no_source_timeout: PATIENCE / 4,
+        uptime: Duration::from_mins(1),
     };
-    assert_eq!(holders.next(&search(PATIENCE / 5), Source::Peers, &mut rng), Supply::Wait);
-    assert_eq!(holders.next(&search(PATIENCE / 3), Source::Peers, &mut rng), Supply::Store);
-    assert_eq!(holders.next(&search(Duration::ZERO), Source::Reader, &mut rng), Supply::Store);
+    assert_eq!(holders.next(&search(PATIENCE / 5), UpdateSource::Peers, &mut rng), SnapshotStep::Wait);
+    assert_eq!(holders.next(&search(PATIENCE / 3), UpdateSource::Peers, &mut rng), SnapshotStep::Store);
+    assert_eq!(holders.next(&search(Duration::ZERO), UpdateSource::Reader, &mut rng), SnapshotStep::Store);
 }
 
 /// A holder whose list is older than what is known, of another era, or that could not give it is passed over.
 #[test]
 fn only_a_later_list_of_the_same_era_is_copied() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut holders = Holders::default();
-    holders.told(1, Era::told(Some(4)), Some(7));
-    holders.told(2, Era::told(Some(5)), Some(9));
-    holders.told(3, Era::told(Some(4)), Some(8));
-    let mut search = Search {
-        era: Era::told(Some(4)),
-        beyond: Some(7),
+    let mut holders = SnapshotSources::default();
+    holders.observe(1, Era::new(Some(4)), Some(7));
+    holders.observe(2, Era::new(Some(5)), Some(9));
+    holders.observe(3, Era::new(Some(4)), Some(8));
+    let mut search = SnapshotSearch {
+        era: Era::new(Some(4)),
+        newer_than: Some(7),
         tried: Vec::new(),
-        missing: Duration::ZERO,
-        patience: PATIENCE,
-        hope: PATIENCE / 4,
-        up: Duration::from_mins(1),
+        missing_for: Duration::ZERO,
+        busy_timeout: PATIENCE,
+        no_source_timeout: PATIENCE / 4,
+        uptime: Duration::from_mins(1),
     };
-    assert_eq!(holders.next(&search, Source::Peers, &mut rng), Supply::Peer(3));
+    assert_eq!(holders.next(&search, UpdateSource::Peers, &mut rng), SnapshotStep::Peer(3));
     search.tried.push(3);
-    search.missing = PATIENCE / 2;
-    assert_eq!(holders.next(&search, Source::Peers, &mut rng), Supply::Wait, "it has the list and is busy");
-    search.missing = PATIENCE;
-    assert_eq!(holders.next(&search, Source::Peers, &mut rng), Supply::Store);
+    search.missing_for = PATIENCE / 2;
+    assert_eq!(
+        holders.next(&search, UpdateSource::Peers, &mut rng),
+        SnapshotStep::Wait,
+        "it has the list and is busy"
+    );
+    search.missing_for = PATIENCE;
+    assert_eq!(holders.next(&search, UpdateSource::Peers, &mut rng), SnapshotStep::Store);
 }
--- a/crates/routing/tests/all/stages.rs
+++ b/crates/routing/tests/all/stages.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use teaselshunt_routing::{Endpoint, EndpointState, Life, Stage, plan_changes};
+use teaselshunt_routing::{Endpoint, EndpointState, Incarnation, Stage, plan_stage_changes};
 
 /// Memory at which about two of seven engines prefill.
 const MEMORY: u64 = 34_000;
@@ -25,16 +25,17 @@
 #[test]
 fn an_ordered_engine_counts_in_its_new_stage() {
     let engines = engines(9, 11);
-    let first = plan_changes(engines.iter(), |_| None, false, MEMORY);
+    let first = plan_stage_changes(engines.iter(), |_| None, false, MEMORY);
     assert!(!first.is_empty());
-    let ordered = |life: &Life| first.iter().find(|c| c.life == *life).map(|c| c.stage);
-    assert!(plan_changes(engines.iter(), ordered, false, MEMORY).is_empty());
+    let ordered =
+        |incarnation: &Incarnation| first.iter().find(|c| c.incarnation == *incarnation).map(|c| c.stage);
+    assert!(plan_stage_changes(engines.iter(), ordered, false, MEMORY).is_empty());
 }
 
 #[test]
 fn failure_domains_keep_prefill_engines_evenly() {
     let engines = engines(12, 12);
-    let changes = plan_changes(engines.iter(), |_| None, false, MEMORY);
+    let changes = plan_stage_changes(engines.iter(), |_| None, false, MEMORY);
     let given = |domain: &str| {
         let of = |e: &&Endpoint| &*e.domain == domain && changes.iter().any(|c| c.id == e.id);
         engines.iter().filter(of).count()
@@ -45,10 +46,10 @@
 
 #[test]
 fn two_prefill_engines_are_kept_at_least() {
-    assert!(plan_changes(engines(2, 0).iter(), |_| None, false, MEMORY).is_empty());
-    assert!(plan_changes(engines(1, 3).iter(), |_| None, false, MEMORY).is_empty());
+    assert!(plan_stage_changes(engines(2, 0).iter(), |_| None, false, MEMORY).is_empty());
+    assert!(plan_stage_changes(engines(1, 3).iter(), |_| None, false, MEMORY).is_empty());
     let all = engines(6, 0);
-    assert_eq!(plan_changes(all.iter(), |_| None, false, MEMORY).len(), 4);
+    assert_eq!(plan_stage_changes(all.iter(), |_| None, false, MEMORY).len(), 4);
 }
 
 /// While the system serves, endpoints come and go, and the wanted number wavers by one. An order takes an engine out for
@@ -56,16 +57,16 @@
 #[test]
 fn a_small_excess_is_left_alone_while_serving() {
     let engines = engines(6, 12);
-    assert_eq!(plan_changes(engines.iter(), |_| None, false, MEMORY).len(), 1);
-    assert!(plan_changes(engines.iter(), |_| None, true, MEMORY).is_empty());
-    assert_eq!(plan_changes(self::engines(8, 10).iter(), |_| None, true, MEMORY).len(), 3);
+    assert_eq!(plan_stage_changes(engines.iter(), |_| None, false, MEMORY).len(), 1);
+    assert!(plan_stage_changes(engines.iter(), |_| None, true, MEMORY).is_empty());
+    assert_eq!(plan_stage_changes(self::engines(8, 10).iter(), |_| None, true, MEMORY).len(), 3);
 }
 
 /// Decode engines with less memory hold fewer answers, so that more engines must decode.
 #[test]
 fn the_share_follows_the_engines_memory() {
     let all = engines(40, 60);
-    let decode = |memory| plan_changes(all.iter(), |_| None, false, memory).len();
+    let decode = |memory| plan_stage_changes(all.iter(), |_| None, false, memory).len();
     assert!(decode(12_000) > decode(24_000));
     assert!(decode(24_000) > decode(48_000));
 }
@@ -75,7 +76,7 @@
 #[test]
 fn a_plan_for_thousands_of_engines_ends() {
     let engines = engines(2_000, 4_000);
-    let changes = plan_changes(engines.iter(), |_| None, false, 25_992);
+    let changes = plan_stage_changes(engines.iter(), |_| None, false, 25_992);
     let kept = 2_000 - changes.len();
     assert!((1_000..1_200).contains(&kept), "{kept}");
     let mut ids: Vec<_> = changes.iter().map(|change| &change.id).collect();
--- a/crates/routing/tests/all/news.rs
+++ b/crates/routing/tests/all/store_updates.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
-use teaselshunt_routing::{Ask, Freshness, Pulse, Source, Word};
+use teaselshunt_routing::{Freshness, ReadNeed, StallDetector, UpdateEffect, UpdateSource};
 
 const BOUND: Duration = Duration::from_secs(4);
 
@@ -18,18 +18,18 @@
 }
 
 /// What each of `instances` does if all hear all.
-fn sources(instances: u32) -> Vec<Source> {
+fn sources(instances: u32) -> Vec<UpdateSource> {
     let others = |own: u32| (0..instances).filter(move |&peer| peer != own);
-    (0..instances).map(|own| Source::of(&own, others(own))).collect()
+    (0..instances).map(|own| UpdateSource::of(&own, others(own))).collect()
 }
 
 #[test]
 fn two_of_a_large_domain_read_and_all_of_a_small_one() {
-    let readers = |sources: &[Source]| sources.iter().filter(|&&s| s == Source::Reader).count();
+    let readers = |sources: &[UpdateSource]| sources.iter().filter(|&&s| s == UpdateSource::Reader).count();
     assert_eq!(readers(&sources(32)), 2);
     assert_eq!(readers(&sources(7)), 2);
-    assert!(sources(6).iter().all(|&s| s == Source::Alone));
-    assert!(sources(1).iter().all(|&s| s == Source::Alone));
+    assert!(sources(6).iter().all(|&s| s == UpdateSource::Alone));
+    assert!(sources(1).iter().all(|&s| s == UpdateSource::Alone));
 }
 
 /// Instances hear only some of their peers, as after many were killed at once. Whoever hears enough of them may go by its
@@ -41,7 +41,7 @@
         let mut heard: Vec<u32> = (1..32).collect();
         heard.shuffle(&mut rng);
         heard.truncate(rng.random_range(0..32));
-        assert_ne!(Source::of(&0, heard.into_iter()), Source::Peers);
+        assert_ne!(UpdateSource::of(&0, heard.into_iter()), UpdateSource::Peers);
     }
 }
 
@@ -51,9 +51,9 @@
 fn an_instance_whose_readers_are_silent_asks_in_time() {
     let mut freshness = Freshness::new(BOUND);
     freshness.confirm(ms(10_000));
-    assert!(freshness.left(ms(10_100)).is_some());
-    let left = freshness.left(ms(10_000)).expect("it was just confirmed");
-    assert!(freshness.left(ms(10_000) + left).is_none());
+    assert!(freshness.remaining(ms(10_100)).is_some());
+    let left = freshness.remaining(ms(10_000)).expect("it was just confirmed");
+    assert!(freshness.remaining(ms(10_000) + left).is_none());
     assert!(left + ms(900) < BOUND, "{left:?}");
     assert!(left > ms(2_300), "a pause after a change and a watch fit into it: {left:?}");
 }
@@ -73,13 +73,13 @@
 /// of its tasks goes on first is chance.
 #[test]
 fn a_reader_that_stood_still_knows_it() {
-    let mut pulse = Pulse::new(ms(0));
+    let mut pulse = StallDetector::new(ms(0));
     for beat in 1..=20 {
-        pulse.beat(ms(beat * 400));
+        pulse.tick(ms(beat * 400));
     }
     assert!(!pulse.stalled_since(ms(7_500), ms(8_300)));
     assert!(pulse.stalled_since(ms(7_500), ms(13_000)), "the answer is read before the next beat");
-    pulse.beat(ms(13_000));
+    pulse.tick(ms(13_000));
     assert!(pulse.stalled_since(ms(7_500), ms(13_001)), "the answer is read after it");
     assert!(!pulse.stalled_since(ms(13_002), ms(13_100)), "another call was made since");
 }
@@ -94,13 +94,13 @@
             if lost {
                 continue;
             }
-            match Word::of(known, after, revision, complete) {
-                Word::Confirmed => {}
-                Word::Changes => {
+            match UpdateEffect::of(known, after, revision, complete) {
+                UpdateEffect::Confirmed => {}
+                UpdateEffect::Changes => {
                     changes.extend((after + 1..=revision).filter(|change| *change > known));
                     known = revision;
                 }
-                Word::Gap => {
+                UpdateEffect::Gap => {
                     changes.extend(known + 1..=revision);
                     known = revision;
                 }
@@ -116,21 +116,21 @@
 fn an_entry_is_missing_since_the_last_confirmation() {
     let mut freshness = Freshness::new(Duration::from_secs(4));
     let start = Duration::from_secs(100);
-    assert_eq!(freshness.absence(start), Duration::ZERO, "nothing was known");
+    assert_eq!(freshness.missing_for(start), Duration::ZERO, "nothing was known");
     freshness.confirm(start);
-    assert_eq!(freshness.absence(start + Duration::from_secs(1)), Duration::from_secs(1));
-    assert_eq!(freshness.absence(start + Duration::from_secs(9)), Duration::ZERO, "the store was away");
+    assert_eq!(freshness.missing_for(start + Duration::from_secs(1)), Duration::from_secs(1));
+    assert_eq!(freshness.missing_for(start + Duration::from_secs(9)), Duration::ZERO, "the store was away");
 }
 
 /// Hundreds of entries change at once, more than a telling holds, and a copy of all of them is on its way when the next telling
 /// comes, of changes that the copy has already. Everybody asked the store for what was known.
 #[test]
 fn a_gap_that_a_copy_has_filled_needs_no_call() {
-    let ask = Ask::default().missing(6_757).missing(7_043);
+    let ask = ReadNeed::default().with_gap(6_757).with_gap(7_043);
     assert!(!ask.is_filled(6_757));
     assert!(ask.is_filled(7_043));
-    assert!(!Ask::Due.is_filled(7_043), "what was not confirmed for long is asked for all the same");
-    assert!(!Ask::default().missing(u64::MAX).is_filled(7_043), "revisions of another era say nothing");
+    assert!(!ReadNeed::Due.is_filled(7_043), "what was not confirmed for long is asked for all the same");
+    assert!(!ReadNeed::default().with_gap(u64::MAX).is_filled(7_043), "revisions of another era say nothing");
 }
 
 /// Hundreds of instances start together. One that has heard nobody after two seconds, or only some of other domains, does not
@@ -138,11 +138,11 @@
 #[test]
 fn an_instance_among_hundreds_waits_to_hear_its_domain() {
     let seconds = Duration::from_secs;
-    assert!(!Source::Peers.is_settled(seconds(1), 300));
-    assert!(Source::Peers.is_settled(seconds(2), 300));
-    assert!(Source::Reader.is_settled(seconds(2), 12));
-    assert!(Source::Alone.is_settled(seconds(2), 8), "nine instances have nobody to wait for");
-    assert!(!Source::Alone.is_settled(seconds(4), 0));
-    assert!(!Source::Alone.is_settled(seconds(4), 80));
-    assert!(Source::Alone.is_settled(seconds(5), 0), "nobody waits for ever");
+    assert!(!UpdateSource::Peers.is_settled(seconds(1), 300));
+    assert!(UpdateSource::Peers.is_settled(seconds(2), 300));
+    assert!(UpdateSource::Reader.is_settled(seconds(2), 12));
+    assert!(UpdateSource::Alone.is_settled(seconds(2), 8), "nine instances have nobody to wait for");
+    assert!(!UpdateSource::Alone.is_settled(seconds(4), 0));
+    assert!(!UpdateSource::Alone.is_settled(seconds(4), 80));
+    assert!(UpdateSource::Alone.is_settled(seconds(5), 0), "nobody waits for ever");
 }
--- a/crates/routing/tests/all/patience.rs
+++ b/crates/routing/tests/all/wait_policy.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use teaselshunt_routing::{Patience, Repeat, Route, way_back};
+use teaselshunt_routing::{Repeat, Route, WaitPolicy, retry_delay};
 
 const BURST: Duration = Duration::from_secs(4);
 const CALLER: Duration = Duration::from_secs(14);
@@ -33,12 +33,15 @@
 #[test]
 fn callers_who_can_be_on_time_go_first() {
     let (now, route) = (Instant::now(), route());
-    let new = Patience::arriving(now, now + CALLER, &route, false);
-    let back = Patience::arriving(now, now + CALLER, &route, true);
+    let new = WaitPolicy::for_arrival(now, now + CALLER, &route, false);
+    let back = WaitPolicy::for_arrival(now, now + CALLER, &route, true);
     assert!(new.until < now + route.goal, "a prefill still fits behind the wait");
-    assert!(back.until > new.until && back.until < now + route.leaving(), "it still hears the answer");
-    assert_eq!((new.spare(4_000), back.spare(4_000)), (0, 4_000));
-    assert!(back.prefill(&route) < new.prefill(&route));
+    assert!(
+        back.until > new.until && back.until < now + route.abandon_timeout(),
+        "it still hears the answer"
+    );
+    assert_eq!((new.headroom(4_000), back.headroom(4_000)), (0, 4_000));
+    assert!(back.prefill_limit(&route) < new.prefill_limit(&route));
 }
 
 /// All callers that are refused in a burst come back. Within the burst they would be refused again.
@@ -46,9 +49,9 @@
 fn a_refused_caller_comes_back_after_the_burst() {
     // What is left after a search for room.
     let left = Duration::from_millis(13_300);
-    assert!(way_back(left).mul_f64(1.25) > BURST, "spread by a quarter, some come after it");
-    assert!(way_back(left) < left / 3, "callers wait a third of their time at most");
-    assert!(way_back(Duration::from_mins(2)) <= BURST, "a patient caller is not kept away for longer");
+    assert!(retry_delay(left).mul_f64(1.25) > BURST, "spread by a quarter, some come after it");
+    assert!(retry_delay(left) < left / 3, "callers wait a third of their time at most");
+    assert!(retry_delay(Duration::from_mins(2)) <= BURST, "a patient caller is not kept away for longer");
 }
 
 /// A search never outlasts the caller's time, whoever it is for.
@@ -57,8 +60,8 @@
     let (now, route) = (Instant::now(), route());
     let until = now + Duration::from_millis(100);
     for returns in [false, true] {
-        assert_eq!(Patience::arriving(now, until, &route, returns).until, until);
+        assert_eq!(WaitPolicy::for_arrival(now, until, &route, returns).until, until);
     }
-    assert_eq!(Patience::resuming(now, until).until, until);
-    assert!(!Patience::resuming(now, until).late, "its caller has seen a part already");
+    assert_eq!(WaitPolicy::for_resume(now, until).until, until);
+    assert!(!WaitPolicy::for_resume(now, until).late, "its caller has seen a part already");
 }
