--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 use teaselshunt_core::{
-    AttemptId, Effect, EndpointId, Event, Fingerprint, Generate, Identity, Instance, Listed, Offer, Report,
-    Source, Ticket, Work,
+    AttemptId, ConfigurationCandidate, Effect, EndpointId, EngineLoad, Event, Fingerprint, Generate,
+    Identity, Instance, InstanceList, Source, Ticket, Work,
 };
 
 use crate::world::{Fault, Options, Side, World, scaled};
@@ -67,14 +67,16 @@
     };
     let mut instance = Instance::new(base, identity, 1);
     let mut effects = Vec::new();
-    let list = Listed { revision: 1, instances: deployment.instances.clone() };
+    let list = InstanceList { revision: 1, instances: deployment.instances.clone() };
     let source = Source::Platform;
-    instance.step(base, Event::Listed { list, source, asked: base }, &mut effects);
+    instance.step(base, Event::ListRead { list, source, read_started: base }, &mut effects);
     let configuration = Arc::new(deployment.configuration.clone());
-    let offer = Offer::Valid { configuration: Arc::clone(&configuration), text: Arc::from("") };
-    instance.step(base, Event::Offered { offer, source }, &mut effects);
+    let candidate =
+        ConfigurationCandidate::Valid { configuration: Arc::clone(&configuration), text: Arc::from("") };
+    instance.step(base, Event::ConfigurationRead { candidate, source }, &mut effects);
     for endpoint in &configuration.endpoints {
-        let event = Event::Reported { endpoint: EndpointId::of(&endpoint.name), report: Report::default() };
+        let event =
+            Event::Reported { endpoint: EndpointId::of(&endpoint.name), report: EngineLoad::default() };
         instance.step(base, event, &mut effects);
     }
     let pools = configuration.pools.len() as u64;
@@ -86,9 +88,9 @@
         let work = Work::Generate(Generate {
             model: format!("model-{}", number % pools),
             team: String::new(),
-            prompt: 1000,
-            limit: 100,
-            again: false,
+            prompt_tokens: 1000,
+            max_tokens: 100,
+            retry: false,
             key: None,
             fingerprint: Fingerprint(number),
             deadline: Duration::from_mins(1),
--- a/crates/bench/src/world/callers.rs
+++ b/crates/bench/src/world/callers.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use teaselshunt_core::{
-    Call, Event, Fingerprint, Generate, IdempotencyKey, Keyed, Outcome, Refusal, RequestId, Ticket, Work,
+    Call, CallerKey, Event, Fingerprint, Generate, IdempotencyKey, Outcome, Refusal, RequestId, Ticket, Work,
 };
 
 use super::drivers::Driver;
@@ -75,7 +75,7 @@
     sendings: u32,
     /// What it asks for, the same in each sending.
     pub(super) fingerprint: Fingerprint,
-    key: Option<Keyed>,
+    key: Option<CallerKey>,
     pub(super) done: bool,
     /// Executions by services.
     pub(super) ran: u32,
@@ -184,7 +184,7 @@
         }
         if state.asked.keyed && state.key.is_none() {
             let key = IdempotencyKey::of("", &format!("key {caller}"));
-            state.key = Some(Keyed { key, born: Some(now_ms) });
+            state.key = Some(CallerKey { key, born: Some(now_ms) });
         }
         state.request = None;
         state.sent = self.now;
@@ -251,7 +251,7 @@
         let state = &mut self.callers[caller];
         state.unknown |= answer.outcome != Outcome::NotRun;
         let safe = answer.outcome == Outcome::NotRun || state.asked.repeatable || state.asked.keyed;
-        match refusal.retry {
+        match refusal.retry_after {
             // One that is told to stay away for longer has its answer.
             Some(retry) if safe && retry <= DEADLINE => self.come_back(caller, retry),
             _ => self.give_up(caller),
@@ -316,7 +316,7 @@
                 self.tally.violations.push(text);
             }
             if !self.nodes[index].drivers.is_empty() {
-                let snapshot = self.nodes[index].instance.as_ref().map(|i| i.snapshot(self.instant()));
+                let snapshot = self.nodes[index].instance.as_ref().map(|i| i.view(self.instant()));
                 let text = format!(
                     "instance {index} still drives requests: {:?}; {snapshot:?}",
                     self.nodes[index].drivers
@@ -360,9 +360,9 @@
         Work::Generate(Generate {
             model: self.asked.name.to_owned(),
             team: String::new(),
-            prompt: self.asked.prompt,
-            limit: self.asked.output,
-            again: self.sendings > 1,
+            prompt_tokens: self.asked.prompt,
+            max_tokens: self.asked.output,
+            retry: self.sendings > 1,
             key,
             fingerprint: self.fingerprint,
             deadline,
--- a/crates/bench/src/world/crashes.rs
+++ b/crates/bench/src/world/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselshunt_core::{Event, Fault as StepFault, Fingerprint};
+use teaselshunt_core::{Event, Fingerprint, StepFailure};
 
 use super::World;
 use super::engine::{Job, Task};
@@ -46,7 +46,7 @@
             self.count_crash(request);
         }
         for job in self.engines[endpoint].crash(self.now) {
-            self.fail(endpoint, &job, StepFault::Broken);
+            self.fail(endpoint, &job, StepFailure::Broken);
         }
     }
 
@@ -81,7 +81,7 @@
                 self.reply(endpoint, job, event);
             }
             Task::Prefill { .. } | Task::Import { .. } | Task::Decode { .. } | Task::Call { .. } => {
-                self.fail(endpoint, job, StepFault::NotSent);
+                self.fail(endpoint, job, StepFailure::NotSent);
             }
         }
     }
--- a/crates/bench/src/world/deployment.rs
+++ b/crates/bench/src/world/deployment.rs
@@ -1,6 +1,6 @@
 //! The first users' deployments, as their example settings have them.
 
-use teaselshunt_core::{Entry, Listed};
+use teaselshunt_core::{InstanceEntry, InstanceList};
 use teaselshunt_settings::{Configuration, Domain, Endpoint, Model, Pool, Role, parse_configuration};
 
 /// A configuration, its instances, and the kinds of work that its callers send.
@@ -9,7 +9,7 @@
     /// Version 1.
     pub configuration: Configuration,
     /// Entry instances.
-    pub instances: Vec<Entry>,
+    pub instances: Vec<InstanceEntry>,
     /// Model of long work, with its share of requests.
     pub long: &'static [&'static str],
     /// Model of quick work.
@@ -26,7 +26,7 @@
     service: &'static str,
 ) -> Deployment {
     let configuration = parse_configuration(configuration).expect("the example configuration checks");
-    let list: Listed = serde_json::from_str(list).expect("the example list is JSON");
+    let list: InstanceList = serde_json::from_str(list).expect("the example list is JSON");
     Deployment { configuration, instances: list.instances, long, quick, service }
 }
 
@@ -57,7 +57,7 @@
     c.links.clear();
     let sample = deployment.instances[0].clone();
     deployment.instances = (0..instances)
-        .map(|i| Entry { name: format!("entry-{i}"), domain: domain(i), ..sample.clone() })
+        .map(|i| InstanceEntry { name: format!("entry-{i}"), domain: domain(i), ..sample.clone() })
         .collect();
     deployment
 }
--- a/crates/bench/src/world/drivers.rs
+++ b/crates/bench/src/world/drivers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselshunt_core::{AttemptId, Effect, Event, Fault as StepFault, Outcome, Target, Ticket};
+use teaselshunt_core::{AttemptId, Effect, Event, Outcome, StepFailure, Target, Ticket};
 
 use super::engine::{Job, Task};
 use super::network::{Network, Side};
@@ -79,14 +79,14 @@
                 self.go(node, ticket, attempt, target, Task::Import { cache, origin });
                 self.look_after(node, ticket, timeout, false);
             }
-            Effect::Decode { ticket, attempt, target, resume, stall, .. } => {
+            Effect::Decode { ticket, attempt, target, resume, stall_timeout, .. } => {
                 let Some(driver) = self.begin(node, ticket, attempt) else {
                     return;
                 };
                 let (caller, offset) = (driver.caller, driver.offset);
                 let length = self.callers[caller].asked.output;
                 self.go(node, ticket, attempt, target, Task::Decode { resume, offset, length });
-                self.look_after(node, ticket, stall, true);
+                self.look_after(node, ticket, stall_timeout, true);
             }
             Effect::Call { ticket, attempt, target, timeout } => {
                 let Some(driver) = self.begin(node, ticket, attempt) else {
@@ -140,7 +140,7 @@
             Event::Cancelled { attempt, endpoint: target.id, confirmed: false }
         } else {
             let offset = self.offset(&job);
-            Event::Failed { attempt, fault: StepFault::NotSent, offset }
+            Event::Failed { attempt, failure: StepFailure::NotSent, offset }
         };
         self.after(CONNECT, Happening::Result { node, life, event });
     }
@@ -198,9 +198,9 @@
             let left = after.saturating_sub(idle);
             return self.after(left, Happening::Overdue { node, life, ticket, number, after, stall });
         }
-        let fault = if stall { StepFault::Stalled } else { StepFault::TimedOut };
+        let fault = if stall { StepFailure::Stalled } else { StepFailure::TimedOut };
         let offset = driver.offset;
-        self.result(node, life, Event::Failed { attempt, fault, offset });
+        self.result(node, life, Event::Failed { attempt, failure: fault, offset });
     }
 
     /// Tokens that the caller of a job has.
--- a/crates/bench/src/world/engine.rs
+++ b/crates/bench/src/world/engine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use teaselshunt_core::{AttemptId, EndpointId, Event, Fault as StepFault, Report, Running, Ticket};
+use teaselshunt_core::{AttemptId, EndpointId, EngineLoad, Event, Running, StepFailure, Ticket};
 use teaselshunt_settings::Role;
 
 use super::crashes::RESTART;
@@ -228,9 +228,9 @@
         }
     }
 
-    pub(super) fn fail(&mut self, endpoint: usize, job: &Job, fault: StepFault) {
+    pub(super) fn fail(&mut self, endpoint: usize, job: &Job, fault: StepFailure) {
         let offset = self.offset(job);
-        self.reply(endpoint, job, Event::Failed { attempt: job.attempt, fault, offset });
+        self.reply(endpoint, job, Event::Failed { attempt: job.attempt, failure: fault, offset });
     }
 
     /// Sends an answer back, unless the way is cut.
@@ -246,7 +246,7 @@
     fn reach_prefill(&mut self, endpoint: usize, job: &Job, tokens: u32, priority: u8) {
         let engine = &mut self.engines[endpoint];
         if engine.refusing || engine.queue.len() >= PREFILLS {
-            return self.fail(endpoint, job, StepFault::Busy);
+            return self.fail(endpoint, job, StepFailure::Busy);
         }
         engine.number += 1;
         engine.queue.insert((priority, engine.number), Waiting { job: job.clone(), tokens });
@@ -293,7 +293,7 @@
     fn reach_import(&mut self, endpoint: usize, job: Job, cache: AttemptId, origin: usize) {
         let engine = &mut self.engines[endpoint];
         if engine.refusing || engine.held.len() >= engine.slots {
-            return self.fail(endpoint, &job, StepFault::Busy);
+            return self.fail(endpoint, &job, StepFailure::Busy);
         }
         engine.held.insert(job.attempt, Held::Incoming);
         self.note_work(endpoint, &job);
@@ -302,7 +302,7 @@
         let held = self.engines[origin].caches.get(&cache).filter(|c| c.until > self.now);
         let Some(held) = held.filter(|_| !cut) else {
             self.engines[endpoint].held.remove(&job.attempt);
-            return self.fail(endpoint, &job, StepFault::Evicted);
+            return self.fail(endpoint, &job, StepFailure::Evicted);
         };
         let bytes = u64::from(held.tokens) * self.options.speed.kv_token;
         let at = self.network.transfer(self.now, from, to, bytes);
@@ -321,7 +321,7 @@
         }
         if !kept {
             engine.held.remove(&job.attempt);
-            return self.fail(endpoint, job, StepFault::Evicted);
+            return self.fail(endpoint, job, StepFailure::Evicted);
         }
         engine.held.insert(job.attempt, Held::Imported);
         self.reply(endpoint, job, Event::Imported { attempt: job.attempt });
@@ -357,7 +357,7 @@
             },
         };
         if !begun {
-            return self.fail(endpoint, job, StepFault::Evicted);
+            return self.fail(endpoint, job, StepFailure::Evicted);
         }
         if self.is_deadly(job) {
             return self.crash(endpoint, job);
@@ -438,7 +438,7 @@
         let shown = engine.reports.front().filter(|(at, _)| *at + lag <= now);
         let running = shown.map_or(Vec::new(), |(_, attempts)| attempts.clone());
         let running = running.into_iter().map(|attempt| Running { attempt }).collect();
-        let report = Report { running, waiting: engine.queue.len() as u32, leaving: false };
+        let report = EngineLoad { running, waiting: engine.queue.len() as u32, leaving: false };
         let event = Event::Reported { endpoint: engine.id, report };
         self.reply(endpoint, job, event);
     }
@@ -452,7 +452,8 @@
             let text = format!("{:?}: a call that may not be repeated ran twice, {}", self.now, job.attempt);
             self.tally.violations.push(text);
         }
-        let stored = teaselshunt_core::Stored { status: 200, content: String::new(), body: Vec::new() };
+        let stored =
+            teaselshunt_core::StoredResponse { status: 200, content_type: String::new(), body: Vec::new() };
         if self.engines[endpoint].stalled {
             return;
         }
--- a/crates/bench/src/world/node.rs
+++ b/crates/bench/src/world/node.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rand::Rng;
-use teaselshunt_core::{Effect, Entry, Event, Identity, Instance, InstanceId, Ticket};
+use teaselshunt_core::{Effect, Event, Identity, Instance, InstanceEntry, InstanceId, Ticket};
 use teaselshunt_wire::peer::encode;
 
 use super::drivers::Driver;
@@ -11,7 +11,7 @@
 use super::{Happening, World};
 
 pub(super) struct Node {
-    pub(super) entry: Entry,
+    pub(super) entry: InstanceEntry,
     pub(super) id: InstanceId,
     pub(super) domain: usize,
     /// Grows with every start and end of the process.
@@ -89,7 +89,7 @@
 
     /// Like the daemon's bootstrap: a new process asks a peer for what it has.
     fn ask_seed(&mut self, index: usize) {
-        let Some(message) = self.nodes[index].instance.as_ref().map(Instance::fetch) else {
+        let Some(message) = self.nodes[index].instance.as_ref().map(Instance::fetch_message) else {
             return;
         };
         let domain = self.nodes[index].domain;
--- a/crates/bench/src/world/platform.rs
+++ b/crates/bench/src/world/platform.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use teaselshunt_core::{Entry, Event, Listed, Offer, Source};
+use teaselshunt_core::{ConfigurationCandidate, Event, InstanceEntry, InstanceList, Source};
 use teaselshunt_settings::Configuration;
 
 use super::network::Side;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(super) struct Platform {
     versions: Vec<(Arc<Configuration>, Arc<str>)>,
-    list: Listed,
+    list: InstanceList,
     pub(super) down: bool,
     /// Whether reads are answered by a replica that is one version behind.
     pub(super) stale: bool,
@@ -27,7 +27,7 @@
 
 impl Platform {
     pub(super) fn new(deployment: &Deployment) -> Self {
-        let list = Listed { revision: 1, instances: deployment.instances.clone() };
+        let list = InstanceList { revision: 1, instances: deployment.instances.clone() };
         Self { versions: vec![version(deployment.configuration.clone())], list, down: false, stale: false }
     }
 
@@ -40,10 +40,10 @@
         self.versions.push(version(configuration));
     }
 
-    fn read(&self) -> Offer {
+    fn read(&self) -> ConfigurationCandidate {
         let behind = usize::from(self.stale && self.versions.len() > 1);
         let (configuration, text) = &self.versions[self.versions.len() - 1 - behind];
-        Offer::Valid { configuration: Arc::clone(configuration), text: Arc::clone(text) }
+        ConfigurationCandidate::Valid { configuration: Arc::clone(configuration), text: Arc::clone(text) }
     }
 }
 
@@ -67,12 +67,18 @@
         if self.platform.down || self.network.is_cut(side, Side::Platform) {
             return;
         }
-        let asked = self.instant();
+        let read_started = self.instant();
         let source = Source::Platform;
-        let offer = self.platform.read();
+        let candidate = self.platform.read();
         let list = self.platform.list.clone();
-        self.after(ANSWER, Happening::Result { node, life, event: Event::Offered { offer, source } });
-        self.after(ANSWER, Happening::Result { node, life, event: Event::Listed { list, source, asked } });
+        self.after(
+            ANSWER,
+            Happening::Result { node, life, event: Event::ConfigurationRead { candidate, source } },
+        );
+        self.after(
+            ANSWER,
+            Happening::Result { node, life, event: Event::ListRead { list, source, read_started } },
+        );
     }
 
     /// Publishes a configuration that `change` makes out of the latest one.
@@ -94,13 +100,13 @@
             n.alive() && !still && !network.is_cut(Side::Domain(n.domain), Side::Platform)
         };
         let entries = self.nodes.iter().filter(seen);
-        let instances: Vec<Entry> =
-            entries.map(|n| Entry { leaving: n.leaving, ..n.entry.clone() }).collect();
+        let instances: Vec<InstanceEntry> =
+            entries.map(|n| InstanceEntry { leaving: n.leaving, ..n.entry.clone() }).collect();
         if instances == self.platform.list.instances {
             return;
         }
         let revision = self.platform.list.revision + 1;
-        self.platform.list = Listed { revision, instances };
+        self.platform.list = InstanceList { revision, instances };
         self.wake_watches();
     }
 
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -9,9 +9,9 @@
 use crate::event::Effect;
 use crate::ids::RequestKey;
 use crate::instance::Instance;
-use crate::message::{ClaimAnswer, Fate, Message};
+use crate::message::{ClaimAnswer, ClaimOutcome, Message};
 use crate::requests::{Phase, Request};
-use crate::{IdempotencyKey, InstanceId, Keyed, RequestId, Ticket};
+use crate::{CallerKey, IdempotencyKey, InstanceId, RequestId, Ticket};
 
 /// How long the home has to answer, inquiries among homes included.
 const CLAIM: Duration = Duration::from_millis(1_500);
@@ -24,14 +24,14 @@
 
 /// How long the fate of a keyed request is remembered here: a connection between instances, and what lies in it, ends sooner.
 const ENDED: Duration = Duration::from_mins(1);
-/// Most fates that are remembered, with answers of [`Stored::MAX`](crate::Stored::MAX) bytes each: 16 MB.
+/// Most fates that are remembered, with answers of [`StoredResponse::MAX_BODY_BYTES`](crate::StoredResponse::MAX_BODY_BYTES) bytes each: 16 MB.
 const ENDED_MAX: usize = 1024;
 
 /// A keyed request that has ended.
 #[derive(Debug)]
 pub(crate) struct Ended {
     at: Instant,
-    fate: Fate,
+    outcome: ClaimOutcome,
 }
 
 impl Instance {
@@ -40,7 +40,7 @@
         let woke = self.woke.is_some_and(|at| now.duration_since(at) < STUPOR);
         if woke && !tells {
             // It may have lain here for longer than any home remembers keys, and a grant could be a second one.
-            return self.refuse(now, key, Refusal::later(ErrorKind::KeyUnknown, KEY_RETRY), out);
+            return self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY), out);
         }
         self.requests.get_mut(key).phase = Phase::Claiming;
         self.requests.set_due(key, now + CLAIM);
@@ -49,7 +49,7 @@
 
     fn ask_home(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let request = self.requests.get(key);
-        let Some(Keyed { key: idempotency, born }) = request.key else {
+        let Some(CallerKey { key: idempotency, born }) = request.key else {
             return;
         };
         let id = request.id;
@@ -88,9 +88,11 @@
                 out.push(Effect::Replay { ticket: request.ticket, stored });
             }
             ClaimAnswer::Ran(None) => self.refuse(now, key, Refusal::new(ErrorKind::KeyUsed), out),
-            ClaimAnswer::InUse => self.refuse(now, key, Refusal::later(ErrorKind::KeyInUse, KEY_RETRY), out),
+            ClaimAnswer::InUse => {
+                self.refuse(now, key, Refusal::retryable(ErrorKind::KeyInUse, KEY_RETRY), out);
+            }
             ClaimAnswer::Unknown => {
-                self.refuse(now, key, Refusal::later(ErrorKind::KeyUnknown, KEY_RETRY), out);
+                self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY), out);
             }
             ClaimAnswer::Lost => self.refuse(now, key, Refusal::new(ErrorKind::KeyUnknown), out),
             ClaimAnswer::Revision(theirs) => self.other_list(now, key, from, theirs, out),
@@ -113,7 +115,7 @@
     ) {
         let ours = self.members.revision();
         if theirs > ours {
-            let message = self.fetch();
+            let message = self.fetch_message();
             // The claim is repeated by `reclaim` when the list has come.
             return self.deliver(now, home, message, out);
         }
@@ -158,13 +160,13 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(ended) = self.ended.get(&id) else { return };
-        let message = Message::Settle { key, request: id, fate: ended.fate.clone() };
+        let message = Message::Settle { key, request: id, outcome: ended.outcome.clone() };
         self.deliver(now, home, message, out);
     }
 
     /// Remembers the fate of a keyed request; the oldest is forgotten if there are too many.
-    fn remember(&mut self, now: Instant, id: RequestId, fate: Fate) {
-        self.ended.insert(id, Ended { at: now, fate });
+    fn remember(&mut self, now: Instant, id: RequestId, outcome: ClaimOutcome) {
+        self.ended.insert(id, Ended { at: now, outcome });
         while self.ended.len() > ENDED_MAX {
             self.ended.pop_first();
         }
@@ -178,19 +180,25 @@
     /// Remembers a request that ended while it waited for a grant: it never ran.
     pub(crate) fn forgo(&mut self, now: Instant, request: &Request) {
         if request.phase == Phase::Claiming {
-            self.remember(now, request.id, Fate::NotRun);
+            self.remember(now, request.id, ClaimOutcome::NotRun);
         }
     }
 
     /// Tells the home what became of a request that held a claim.
-    pub(crate) fn settle(&mut self, now: Instant, request: &Request, fate: Fate, out: &mut Vec<Effect>) {
-        let Some(Keyed { key, .. }) = request.key else {
+    pub(crate) fn settle(
+        &mut self,
+        now: Instant,
+        request: &Request,
+        outcome: ClaimOutcome,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(CallerKey { key, .. }) = request.key else {
             return;
         };
         let Some(home) = self.grants.remove(&request.id) else {
             return;
         };
-        self.remember(now, request.id, fate.clone());
-        self.deliver(now, home, Message::Settle { key, request: request.id, fate }, out);
+        self.remember(now, request.id, outcome.clone());
+        self.deliver(now, home, Message::Settle { key, request: request.id, outcome }, out);
     }
 }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -10,9 +10,9 @@
     /// Whole answers within both latency targets.
     pub good: u64,
     /// Prompt tokens of finished prefills.
-    pub prefilled: u64,
+    pub prefilled_tokens: u64,
     /// Prompt tokens of prefills whose result no answer used.
-    pub wasted: u64,
+    pub wasted_tokens: u64,
 }
 
 /// Counts since the start of the instance. All only grow.
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -14,7 +14,7 @@
 use crate::ids::{EndpointKey, RequestKey};
 use crate::instance::Instance;
 use crate::message::Message;
-use crate::quarantine::{Crash, CrashReport, EndpointStart};
+use crate::quarantine::{Crash, CrashReport, EndpointIncarnation};
 use crate::requests::Phase;
 use crate::{EndpointId, Fingerprint, InstanceId};
 
@@ -48,7 +48,7 @@
         out: &mut Vec<Effect>,
     ) {
         let request = self.requests.get(key).fingerprint;
-        let target = self.fleet.get(endpoint).target();
+        let target = self.endpoints.get(endpoint).target();
         self.losses.retain(|loss| now.duration_since(loss.at) < LOSS);
         self.losses.push(Loss { request, endpoint: target.id, at: now });
         if !matches!(self.requests.get(key).phase, Phase::Calling { .. }) {
@@ -60,8 +60,11 @@
     pub(crate) fn left(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         let Some(endpoint) = request.phase.endpoint() else { return };
-        let loss =
-            Loss { request: request.fingerprint, endpoint: self.fleet.get(endpoint).target().id, at: now };
+        let loss = Loss {
+            request: request.fingerprint,
+            endpoint: self.endpoints.get(endpoint).target().id,
+            at: now,
+        };
         self.abandoned.retain(|loss| now.duration_since(loss.at) < LOSS);
         self.abandoned.push(loss);
     }
@@ -93,17 +96,17 @@
         for Loss { request, endpoint, at } in lost.into_iter().filter(|l| now.duration_since(l.at) < LOSS) {
             let crash = Crash { request, endpoint: self.start_of(endpoint, at), at };
             self.next_telling = now;
-            if self.quarantine.crashed(now, crash) {
+            if self.quarantine.observe_crash(now, crash) {
                 self.enforce(now, request, out);
             }
         }
     }
 
     /// The start of an endpoint that crashed at a time.
-    fn start_of(&self, endpoint: EndpointId, at: Instant) -> EndpointStart {
+    fn start_of(&self, endpoint: EndpointId, at: Instant) -> EndpointIncarnation {
         let lived = at.saturating_duration_since(self.started).as_millis() as u64;
         let period = (self.identity.incarnation + lived) / RESTART;
-        EndpointStart(xxh3_64_with_seed(&endpoint.0.to_le_bytes(), period))
+        EndpointIncarnation(xxh3_64_with_seed(&endpoint.0.to_le_bytes(), period))
     }
 
     /// A request is in quarantine from now on; those that wait here with the same content are given up at once.
@@ -125,7 +128,7 @@
         let left = self.quarantine.until(now, request.fingerprint)?.duration_since(now);
         // What ran may not be called "not run".
         let kind = if request.may_have_run() { ErrorKind::EndpointFailed } else { ErrorKind::Quarantined };
-        Some(Refusal::later(kind, left))
+        Some(Refusal::retryable(kind, left))
     }
 
     /// Tells the others what is new, and again for a while.
@@ -144,11 +147,11 @@
 
     /// What a member is told that is new, or all that members are told now.
     pub(crate) fn crash_news(&self, now: Instant, newcomer: bool) -> Option<Message> {
-        let news = self.quarantine.news(now, newcomer);
+        let news = self.quarantine.update(now, newcomer);
         if news.crashes.is_empty() && news.served.is_empty() {
             return None;
         }
-        let crashes = news.crashes.into_iter().map(|crash| CrashReport::of(now, crash)).collect();
+        let crashes = news.crashes.into_iter().map(|crash| CrashReport::new(now, crash)).collect();
         Some(Message::Crashes { crashes, served: news.served })
     }
 
@@ -161,11 +164,11 @@
         out: &mut Vec<Effect>,
     ) {
         for request in served {
-            self.quarantine.told_served(now, request);
+            self.quarantine.merge_success(now, request);
         }
         for report in crashes {
             let crash = report.crash(now, self.started);
-            if self.quarantine.told(now, crash) {
+            if self.quarantine.merge_crash(now, crash) {
                 self.enforce(now, report.request, out);
             }
             let starts: Vec<_> =
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/endpoints.rs
@@ -13,7 +13,7 @@
 use slotmap::SlotMap;
 use teaselshunt_settings::{Configuration, EndpointState, Role};
 
-use crate::event::{Report, Target};
+use crate::event::{EngineLoad, Target};
 use crate::ids::EndpointKey;
 use crate::slots::Use;
 use crate::{EndpointId, InstanceId};
@@ -124,7 +124,7 @@
 
 /// All endpoints that one instance knows.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct EndpointTable {
     endpoints: SlotMap<EndpointKey, EndpointEntry>,
     by_id: HashMap<EndpointId, EndpointKey>,
     groups: HashMap<(String, Role), Vec<EndpointKey>>,
@@ -146,7 +146,7 @@
     pub(crate) percent: u32,
 }
 
-impl Fleet {
+impl EndpointTable {
     /// Takes a configuration version over. Endpoints that it no longer has stay until their work has ended.
     pub(crate) fn apply(&mut self, configuration: &Arc<Configuration>) {
         for entry in self.endpoints.values_mut() {
@@ -245,7 +245,7 @@
         engines.map(EndpointEntry::target).collect()
     }
 
-    /// Takes a slot; each is given back once by [`Fleet::release`].
+    /// Takes a slot; each is given back once by [`EndpointTable::release`].
     pub(crate) fn take(&mut self, key: EndpointKey) {
         self.endpoints[key].own += 1;
     }
@@ -414,7 +414,7 @@
         now: Instant,
         key: EndpointKey,
         me: InstanceId,
-        report: &Report,
+        report: &EngineLoad,
         foreign: u32,
     ) -> bool {
         let entry = &mut self.endpoints[key];
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -77,7 +77,7 @@
     /// HTTP status.
     pub status: u16,
     /// `error.type` of the `OpenAI` error body.
-    pub family: &'static str,
+    pub error_type: &'static str,
     /// `error.code` of the `OpenAI` error body, also the label of metrics and logs.
     pub code: &'static str,
     /// `error.message`.
@@ -88,12 +88,12 @@
 
 const fn row(
     status: u16,
-    family: &'static str,
+    error_type: &'static str,
     code: &'static str,
     outcome: Outcome,
     message: &'static str,
 ) -> Answer {
-    Answer { status, family, code, message, outcome }
+    Answer { status, error_type, code, message, outcome }
 }
 
 impl ErrorKind {
@@ -160,17 +160,17 @@
     /// Why.
     pub kind: ErrorKind,
     /// When to come back, where coming back can help.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// A refusal that coming back does not change.
     pub const fn new(kind: ErrorKind) -> Self {
-        Self { kind, retry: None }
+        Self { kind, retry_after: None }
     }
 
     /// A refusal with a time to come back.
-    pub const fn later(kind: ErrorKind, retry: Duration) -> Self {
-        Self { kind, retry: Some(retry) }
+    pub const fn retryable(kind: ErrorKind, retry_after: Duration) -> Self {
+        Self { kind, retry_after: Some(retry_after) }
     }
 }
--- a/crates/core/src/learning.rs
+++ b/crates/core/src/estimates.rs
@@ -45,8 +45,8 @@
     pub(crate) fn count_prefill(&mut self, key: RequestKey, decode: EndpointKey) {
         let request = self.requests.get(key);
         if let Kind::Generate { prompt, .. } = request.kind {
-            let site = &self.fleet.get(decode).site;
-            self.counters.class(&request.class, site).prefilled += u64::from(prompt);
+            let site = &self.endpoints.get(decode).site;
+            self.counters.class(&request.class, site).prefilled_tokens += u64::from(prompt);
         }
     }
 
@@ -54,8 +54,8 @@
     pub(crate) fn count_waste(&mut self, key: RequestKey, decode: Option<EndpointKey>) {
         let request = self.requests.get(key);
         if let Kind::Generate { prompt, .. } = request.kind {
-            let site = decode.map_or("", |d| self.fleet.get(d).site.as_str());
-            self.counters.class(&request.class, site).wasted += u64::from(prompt);
+            let site = decode.map_or("", |d| self.endpoints.get(d).site.as_str());
+            self.counters.class(&request.class, site).wasted_tokens += u64::from(prompt);
         }
     }
 
@@ -68,7 +68,7 @@
     pub(crate) fn count_answer(&mut self, now: Instant, key: RequestKey, endpoint: EndpointKey) {
         let request = self.requests.get(key);
         let good = within_targets(now, request);
-        let site = &self.fleet.get(endpoint).site;
+        let site = &self.endpoints.get(endpoint).site;
         let class = self.counters.class(&request.class, site);
         class.answered += 1;
         class.good += u64::from(good);
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use teaselshunt_settings::{Configuration, parse_configuration};
 
-use crate::{AttemptId, EndpointId, Fingerprint, InstanceId, Keyed, Message, Refusal, RequestId, Ticket};
+use crate::{AttemptId, CallerKey, EndpointId, Fingerprint, InstanceId, Message, Refusal, RequestId, Ticket};
 
 /// Something that happened.
 #[derive(Debug, Clone)]
@@ -52,21 +52,21 @@
         /// Tokens passed on, over all tries.
         offset: u32,
         /// The answer where it is small enough to be kept for its idempotency key.
-        stored: Option<Stored>,
+        stored: Option<StoredResponse>,
     },
     /// A service call was answered.
     Called {
         /// The try.
         attempt: AttemptId,
         /// The answer where it is small enough to be kept for its idempotency key.
-        stored: Option<Stored>,
+        stored: Option<StoredResponse>,
     },
     /// A step at an endpoint failed.
     Failed {
         /// The try.
         attempt: AttemptId,
         /// How.
-        fault: Fault,
+        failure: StepFailure,
         /// Tokens passed to the caller so far, over all tries.
         offset: u32,
     },
@@ -84,7 +84,7 @@
         /// The engine.
         endpoint: EndpointId,
         /// The report.
-        report: Report,
+        report: EngineLoad,
     },
     /// An engine did not answer a request for its load.
     Unreported {
@@ -92,27 +92,27 @@
         endpoint: EndpointId,
     },
     /// A configuration version was read.
-    Offered {
+    ConfigurationRead {
         /// The version, or why it cannot be used.
-        offer: Offer,
+        candidate: ConfigurationCandidate,
         /// Where from.
         source: Source,
     },
     /// A list of instances was read.
-    Listed {
+    ListRead {
         /// The list.
-        list: Listed,
+        list: InstanceList,
         /// Where from.
         source: Source,
         /// When the reading was begun; the list cannot be trusted to be newer than that.
-        asked: Instant,
+        read_started: Instant,
     },
     /// The platform answered that this list revision is still the latest.
-    Unchanged {
+    ListUnchanged {
         /// The revision.
         revision: u64,
         /// When the reading was begun.
-        asked: Instant,
+        read_started: Instant,
     },
     /// A peer sent a message.
     Received {
@@ -144,13 +144,13 @@
     /// Team, empty where the caller gave none.
     pub team: String,
     /// Length of the prompt in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens to generate.
-    pub limit: u32,
+    pub max_tokens: u32,
     /// Whether the caller says that it was refused before and comes back; its target has passed already.
-    pub again: bool,
+    pub retry: bool,
     /// Idempotency key, if the caller gave one.
-    pub key: Option<Keyed>,
+    pub key: Option<CallerKey>,
     /// By what it is known if it is sent again.
     pub fingerprint: Fingerprint,
     /// Time from arrival after which the caller has no use for the answer.
@@ -167,7 +167,7 @@
     /// Team, empty where the caller gave none.
     pub team: String,
     /// Idempotency key, if the caller gave one.
-    pub key: Option<Keyed>,
+    pub key: Option<CallerKey>,
     /// By what it is known if it is sent again.
     pub fingerprint: Fingerprint,
     /// Time from arrival after which the caller has no use for the answer.
@@ -176,7 +176,7 @@
 
 /// How a step failed. The first three prove that the endpoint began nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Fault {
+pub enum StepFailure {
     /// No connection was made, so nothing left this process.
     NotSent,
     /// The endpoint said that it is full and has not begun.
@@ -195,9 +195,9 @@
     Stalled,
 }
 
-impl Fault {
+impl StepFailure {
     /// Whether the endpoint provably began nothing.
-    pub const fn unsent(self) -> bool {
+    pub const fn not_started(self) -> bool {
         match self {
             Self::NotSent | Self::Busy | Self::Leaving => true,
             Self::Evicted | Self::Rejected | Self::Broken | Self::TimedOut | Self::Stalled => false,
@@ -207,7 +207,7 @@
 
 /// An engine's own account of its load; it lags.
 #[derive(Debug, Clone, Default)]
-pub struct Report {
+pub struct EngineLoad {
     /// Requests that it works on or holds memory for.
     pub running: Vec<Running>,
     /// Requests waiting inside the engine.
@@ -225,7 +225,7 @@
 
 /// A configuration version as it was read.
 #[derive(Debug, Clone)]
-pub enum Offer {
+pub enum ConfigurationCandidate {
     /// It checks.
     Valid {
         /// The version.
@@ -242,9 +242,9 @@
     },
 }
 
-impl Offer {
+impl ConfigurationCandidate {
     /// Reads a version from its JSON text.
-    pub fn read(text: &str) -> Self {
+    pub fn parse(text: &str) -> Self {
         match parse_configuration(text) {
             Ok(configuration) => {
                 Self::Valid { configuration: Arc::new(configuration), text: Arc::from(text) }
@@ -256,16 +256,16 @@
 
 /// The platform's list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct InstanceList {
     /// Grows with every change of the list.
     pub revision: u64,
     /// Instances, live and leaving.
-    pub instances: Vec<Entry>,
+    pub instances: Vec<InstanceEntry>,
 }
 
 /// One instance of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct InstanceEntry {
     /// Name.
     pub name: String,
     /// Failure domain.
@@ -287,18 +287,19 @@
 
 /// An answer kept for retries with the same idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// `Content-Type`.
-    pub content: String,
+    #[serde(rename = "content")]
+    pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
 }
 
-impl Stored {
+impl StoredResponse {
     /// Largest body that is kept, in bytes.
-    pub const MAX: usize = 16 * 1024;
+    pub const MAX_BODY_BYTES: usize = 16 * 1024;
 }
 
 /// An endpoint to send to.
@@ -359,7 +360,7 @@
         /// 0 is most urgent.
         priority: u8,
         /// Longest silence.
-        stall: Duration,
+        stall_timeout: Duration,
     },
     /// Call a plain service.
     Call {
@@ -384,7 +385,7 @@
         /// The caller.
         ticket: Ticket,
         /// The kept answer.
-        stored: Stored,
+        stored: StoredResponse,
     },
     /// Tell an engine to drop whatever it holds of a try.
     Cancel {
--- a/crates/core/src/failures.rs
+++ b/crates/core/src/failures.rs
@@ -9,10 +9,10 @@
 
 use crate::AttemptId;
 use crate::error::{ErrorKind, Refusal};
-use crate::event::{Audit, Effect, Fault};
-use crate::flow::{ELSEWHERE, RETRY};
+use crate::event::{Audit, Effect, StepFailure};
 use crate::ids::{EndpointKey, RequestKey};
 use crate::instance::Instance;
+use crate::lifecycle::{ELSEWHERE, RETRY};
 use crate::requests::{Kind, Phase};
 
 impl Instance {
@@ -20,7 +20,7 @@
         &mut self,
         now: Instant,
         attempt: AttemptId,
-        fault: Fault,
+        failure: StepFailure,
         offset: u32,
         out: &mut Vec<Effect>,
     ) {
@@ -31,7 +31,7 @@
         assert!(offset >= request.offset, "output of {attempt} moved back");
         request.offset = offset;
         let phase = request.phase;
-        if matches!(fault, Fault::Broken | Fault::TimedOut | Fault::Stalled)
+        if matches!(failure, StepFailure::Broken | StepFailure::TimedOut | StepFailure::Stalled)
             && let Some(endpoint) = phase.endpoint()
         {
             self.lost(now, key, endpoint, out);
@@ -39,13 +39,13 @@
         match phase {
             Phase::Claiming | Phase::Waiting => {}
             Phase::Prefilling { prefill, decode } => {
-                self.prefill_failed(now, key, (prefill, decode), fault, out);
+                self.prefill_failed(now, key, (prefill, decode), failure, out);
             }
             Phase::Importing { prefill, decode } => {
-                self.import_failed(now, key, (prefill, decode), fault, out);
+                self.import_failed(now, key, (prefill, decode), failure, out);
             }
-            Phase::Decoding { decode } => self.decode_failed(now, key, decode, fault, out),
-            Phase::Calling { endpoint } => self.call_failed(now, key, endpoint, fault, out),
+            Phase::Decoding { decode } => self.decode_failed(now, key, decode, failure, out),
+            Phase::Calling { endpoint } => self.call_failed(now, key, endpoint, failure, out),
         }
     }
 
@@ -54,21 +54,21 @@
         now: Instant,
         key: RequestKey,
         (prefill, decode): (EndpointKey, EndpointKey),
-        fault: Fault,
+        failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
-        self.blame(now, prefill, fault, out);
+        self.blame(now, prefill, failure, out);
         let request = self.requests.get_mut(key);
         let attempt = request.attempt();
         request.tried.push(prefill);
         request.phase = Phase::Waiting;
-        request.touched |= !fault.unsent();
-        if !fault.unsent() {
+        request.touched |= !failure.not_started();
+        if !failure.not_started() {
             self.cancel(now, attempt, prefill, out);
         }
         self.release_prefill(now, key, prefill, out);
         self.release_decode(now, key, decode, out);
-        self.retry(now, key, fault, out);
+        self.retry(now, key, failure, out);
     }
 
     pub(crate) fn import_failed(
@@ -76,26 +76,26 @@
         now: Instant,
         key: RequestKey,
         (prefill, decode): (EndpointKey, EndpointKey),
-        fault: Fault,
+        failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
         let attempt = self.requests.get(key).attempt();
-        if fault == Fault::Evicted {
+        if failure == StepFailure::Evicted {
             self.requests.get_mut(key).tried.push(prefill);
         } else {
-            self.blame(now, decode, fault, out);
+            self.blame(now, decode, failure, out);
             self.requests.get_mut(key).tried.push(decode);
         }
-        if !fault.unsent() {
+        if !failure.not_started() {
             self.cancel(now, attempt, decode, out);
         }
         self.release_decode(now, key, decode, out);
-        if fault.unsent() && self.import_elsewhere(now, key, prefill, out) {
+        if failure.not_started() && self.import_elsewhere(now, key, prefill, out) {
             return;
         }
         self.waste(now, key, out);
         self.back_to_waiting(key);
-        self.retry(now, key, fault, out);
+        self.retry(now, key, failure, out);
     }
 
     /// A try of which something ran has ended.
@@ -120,7 +120,7 @@
             return false;
         };
         self.spend_retry();
-        self.fleet.take(decode);
+        self.endpoints.take(decode);
         self.requests.get_mut(key).attempts += 1;
         self.import(key, prefill, decode, out);
         true
@@ -131,10 +131,10 @@
         now: Instant,
         key: RequestKey,
         decode: EndpointKey,
-        fault: Fault,
+        failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
-        let silent = matches!(fault, Fault::Stalled | Fault::Broken | Fault::TimedOut);
+        let silent = matches!(failure, StepFailure::Stalled | StepFailure::Broken | StepFailure::TimedOut);
         let request = self.requests.get_mut(key);
         let attempt = request.attempt();
         if silent && !request.resumed {
@@ -150,7 +150,7 @@
         request.tried.push(decode);
         let resumed_from = (request.resumed && request.attempts > 1)
             .then(|| AttemptId { request: request.id, number: request.attempts - 1 });
-        self.blame(now, decode, fault, out);
+        self.blame(now, decode, failure, out);
         self.cancel(now, attempt, decode, out);
         if let Some(earlier) = resumed_from {
             self.cancel(now, earlier, decode, out);
@@ -158,7 +158,7 @@
         self.count_waste(key, Some(decode));
         self.release_decode(now, key, decode, out);
         self.back_to_waiting(key);
-        self.retry(now, key, fault, out);
+        self.retry(now, key, failure, out);
     }
 
     pub(crate) fn call_failed(
@@ -166,30 +166,36 @@
         now: Instant,
         key: RequestKey,
         endpoint: EndpointKey,
-        fault: Fault,
+        failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
-        self.blame(now, endpoint, fault, out);
-        self.fleet.release(endpoint);
+        self.blame(now, endpoint, failure, out);
+        self.endpoints.release(endpoint);
         let request = self.requests.get_mut(key);
         request.tried.push(endpoint);
         let Kind::Call { repeatable, .. } = request.kind else {
             unreachable!("only calls are in the phase of calling");
         };
         request.phase = Phase::Waiting;
-        request.touched |= !fault.unsent();
-        if !fault.unsent() && !repeatable {
+        request.touched |= !failure.not_started();
+        if !failure.not_started() && !repeatable {
             return self.refuse(now, key, Refusal::new(ErrorKind::OutcomeUnknown), out);
         }
-        self.retry(now, key, fault, out);
+        self.retry(now, key, failure, out);
     }
 
     /// Sends the request back to the queue, or gives up on it.
-    pub(crate) fn retry(&mut self, now: Instant, key: RequestKey, fault: Fault, out: &mut Vec<Effect>) {
+    pub(crate) fn retry(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        failure: StepFailure,
+        out: &mut Vec<Effect>,
+    ) {
         let request = self.requests.get(key);
         let pool = request.pool.clone();
         let ran = request.may_have_run();
-        if fault == Fault::Rejected {
+        if failure == StepFailure::Rejected {
             self.refuse(now, key, Refusal::new(ErrorKind::Rejected), out);
         } else if let Some(refusal) = self.quarantined(now, key) {
             self.refuse(now, key, refusal, out);
@@ -197,9 +203,9 @@
             self.spend_retry();
             self.enqueue(now, key, out);
         } else if ran {
-            self.refuse(now, key, Refusal::later(ErrorKind::EndpointFailed, ELSEWHERE), out);
+            self.refuse(now, key, Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE), out);
         } else {
-            self.refuse(now, key, Refusal::later(ErrorKind::NoEndpoint, ELSEWHERE), out);
+            self.refuse(now, key, Refusal::retryable(ErrorKind::NoEndpoint, ELSEWHERE), out);
         }
         self.pump(now, &pool, out);
     }
@@ -217,20 +223,26 @@
         self.counters.retried += 1;
     }
 
-    pub(crate) fn blame(&mut self, now: Instant, endpoint: EndpointKey, fault: Fault, out: &mut Vec<Effect>) {
-        if fault == Fault::NotSent {
-            let id = self.fleet.get(endpoint).target().id;
+    pub(crate) fn blame(
+        &mut self,
+        now: Instant,
+        endpoint: EndpointKey,
+        failure: StepFailure,
+        out: &mut Vec<Effect>,
+    ) {
+        if failure == StepFailure::NotSent {
+            let id = self.endpoints.get(endpoint).target().id;
             self.unreached(now, id, out);
         }
-        match fault {
-            Fault::Leaving => self.fleet.leaving(endpoint),
-            Fault::NotSent | Fault::Broken | Fault::TimedOut | Fault::Stalled => {
-                if self.fleet.failed(now, endpoint) {
-                    let name = self.fleet.get(endpoint).name.clone();
+        match failure {
+            StepFailure::Leaving => self.endpoints.leaving(endpoint),
+            StepFailure::NotSent | StepFailure::Broken | StepFailure::TimedOut | StepFailure::Stalled => {
+                if self.endpoints.failed(now, endpoint) {
+                    let name = self.endpoints.get(endpoint).name.clone();
                     out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: false }));
                 }
             }
-            Fault::Busy | Fault::Evicted | Fault::Rejected => {}
+            StepFailure::Busy | StepFailure::Evicted | StepFailure::Rejected => {}
         }
     }
 }
--- a/crates/core/src/homes.rs
+++ b/crates/core/src/homes.rs
@@ -44,7 +44,7 @@
 use std::time::{Duration, Instant};
 
 use crate::members::{Health, Members};
-use crate::message::{ClaimAnswer, Fate, Message, Record};
+use crate::message::{ClaimAnswer, ClaimOutcome, KeyRecord, Message};
 use crate::{IdempotencyKey, InstanceId, RequestId};
 
 /// How long a reading of the list entitles a home to grant.
@@ -58,7 +58,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    record: Record,
+    record: KeyRecord,
     at: Instant,
 }
 
@@ -130,9 +130,9 @@
 #[derive(Debug)]
 pub(crate) struct Finding {
     pub(crate) revision: u64,
-    pub(crate) record: Option<Record>,
-    pub(crate) whole: bool,
-    pub(crate) complete: bool,
+    pub(crate) record: Option<KeyRecord>,
+    pub(crate) own_grants_known: bool,
+    pub(crate) lists_known: bool,
     pub(crate) homes: Vec<InstanceId>,
 }
 
@@ -158,7 +158,7 @@
         entry: &Entry,
     ) {
         let answer = entry.answer(members, request);
-        if let Record::Granted(holder) = entry.record
+        if let KeyRecord::Granted(holder) = entry.record
             && holder != request
         {
             self.answer(holder.instance, key, holder, ClaimAnswer::Granted);
@@ -353,7 +353,7 @@
                 continue;
             }
             let answer = if grant {
-                self.put(now, key, Record::Granted(request));
+                self.put(now, key, KeyRecord::Granted(request));
                 ClaimAnswer::Granted
             } else {
                 refusal.clone()
@@ -362,7 +362,7 @@
         }
     }
 
-    fn put(&mut self, now: Instant, key: IdempotencyKey, record: Record) {
+    fn put(&mut self, now: Instant, key: IdempotencyKey, record: KeyRecord) {
         self.bytes += size(&record);
         if let Some(old) = self.entries.insert(key, Entry { record, at: now }) {
             self.bytes -= size(&old.record);
@@ -371,18 +371,24 @@
     }
 
     /// What became of a grant.
-    pub(crate) fn settle(&mut self, now: Instant, key: IdempotencyKey, request: RequestId, fate: Fate) {
-        let held = self.entries.get(&key).is_some_and(|e| e.record == Record::Granted(request));
+    pub(crate) fn settle(
+        &mut self,
+        now: Instant,
+        key: IdempotencyKey,
+        request: RequestId,
+        outcome: ClaimOutcome,
+    ) {
+        let held = self.entries.get(&key).is_some_and(|e| e.record == KeyRecord::Granted(request));
         if !held {
             return;
         }
-        match fate {
-            Fate::NotRun => {
+        match outcome {
+            ClaimOutcome::NotRun => {
                 let entry = self.entries.remove(&key);
                 self.bytes -= entry.map_or(0, |e| size(&e.record));
             }
-            Fate::Ran(stored) => self.put(now, key, Record::Ran(stored)),
-            Fate::Unknown => self.put(now, key, Record::Unknown),
+            ClaimOutcome::Ran(stored) => self.put(now, key, KeyRecord::Ran(stored)),
+            ClaimOutcome::Unknown => self.put(now, key, KeyRecord::Unknown),
         }
     }
 
@@ -397,17 +403,17 @@
         let ours = members.revision();
         if ours == revision && members.home(key) == Some(self.me) {
             // Two lists under one revision: the platform broke its word. Neither side may grant.
-            self.put(now, key, Record::Unknown);
+            self.put(now, key, KeyRecord::Unknown);
         }
         // Claims that waited here were dropped with the former list, so that none ends in a grant after this answer.
-        let whole = self.remembers(now, members, born);
-        let complete = self.witnessed(now, members, born);
+        let own_grants_known = self.remembers(now, members, born);
+        let lists_known = self.witnessed(now, members, born);
         let former = members.former_homes(key).into_iter();
         let may_have = former.filter(|&(_, replaced)| !self.made_after(born, replaced, TENURE));
         let others = may_have.map(|(home, _)| home).filter(|&home| home != self.me);
         let homes = others.filter(|&home| !self.handed_over(members, home)).collect();
         let record = self.entries.get(&key).map(|e| e.record.clone());
-        Message::Inquired { key, revision: ours, record, whole, complete, homes }
+        Message::Inquired { key, revision: ours, record, own_grants_known, lists_known, homes }
     }
 
     /// An earlier home answered.
@@ -419,7 +425,7 @@
         key: IdempotencyKey,
         finding: Finding,
     ) -> Replies {
-        let Finding { revision, record, whole, complete, homes } = finding;
+        let Finding { revision, record, own_grants_known, lists_known, homes } = finding;
         let mut replies = Replies::default();
         let Some(inquiry) = self.inquiries.get(&key) else {
             return replies;
@@ -438,8 +444,8 @@
         }
         let was_home = homes.contains(&self.me) && !self.remembers(now, members, born);
         let proven = match proof {
-            Proof::Whole => whole,
-            Proof::Witness => whole && complete && !was_home,
+            Proof::Whole => own_grants_known,
+            Proof::Witness => own_grants_known && lists_known && !was_home,
             Proof::Record => false,
         };
         let mut others: Vec<InstanceId> = Vec::new();
@@ -502,7 +508,7 @@
                 continue;
             }
             // Too many bytes: the answer goes, the record that it ran stays.
-            if let Record::Ran(stored) = &mut entry.record {
+            if let KeyRecord::Ran(stored) = &mut entry.record {
                 *stored = None;
             }
             self.bytes += size(&entry.record);
@@ -518,7 +524,7 @@
     pub(crate) fn handover(&mut self, members: &Members) -> Vec<(InstanceId, Message)> {
         let incarnation = self.epoch;
         self.closed = true;
-        let mut parts: BTreeMap<InstanceId, Vec<(IdempotencyKey, Record)>> = BTreeMap::new();
+        let mut parts: BTreeMap<InstanceId, Vec<(IdempotencyKey, KeyRecord)>> = BTreeMap::new();
         for (id, _) in members.iter().filter(|(_, m)| !m.leaving) {
             parts.insert(id, Vec::new());
         }
@@ -533,7 +539,7 @@
         }
         let mut messages = Vec::new();
         for (home, records) in parts {
-            let mut chunks: Vec<Vec<(IdempotencyKey, Record)>> =
+            let mut chunks: Vec<Vec<(IdempotencyKey, KeyRecord)>> =
                 records.chunks(HANDOVER).map(<[_]>::to_vec).collect();
             let final_chunk = chunks.pop().unwrap_or_default();
             let part = |records, last| (home, Message::Handover { incarnation, records, last });
@@ -548,7 +554,7 @@
         &mut self,
         now: Instant,
         (from, incarnation): (InstanceId, u64),
-        records: Vec<(IdempotencyKey, Record)>,
+        records: Vec<(IdempotencyKey, KeyRecord)>,
         last: bool,
     ) {
         for (key, record) in records {
@@ -573,11 +579,11 @@
     fn answer(&self, members: &Members, asker: RequestId) -> ClaimAnswer {
         match &self.record {
             // The same request asks again because the first answer was lost on the way.
-            Record::Granted(holder) if *holder == asker => ClaimAnswer::Granted,
-            Record::Granted(holder) if gone(members, *holder) => ClaimAnswer::Unknown,
-            Record::Granted(_) => ClaimAnswer::InUse,
-            Record::Ran(stored) => ClaimAnswer::Ran(stored.clone()),
-            Record::Unknown => ClaimAnswer::Lost,
+            KeyRecord::Granted(holder) if *holder == asker => ClaimAnswer::Granted,
+            KeyRecord::Granted(holder) if gone(members, *holder) => ClaimAnswer::Unknown,
+            KeyRecord::Granted(_) => ClaimAnswer::InUse,
+            KeyRecord::Ran(stored) => ClaimAnswer::Ran(stored.clone()),
+            KeyRecord::Unknown => ClaimAnswer::Lost,
         }
     }
 }
@@ -589,9 +595,9 @@
         .is_some_and(|m| m.incarnation > holder.incarnation || matches!(m.health, Health::Dead(_)))
 }
 
-fn size(record: &Record) -> usize {
+fn size(record: &KeyRecord) -> usize {
     match record {
-        Record::Ran(Some(stored)) => stored.body.len() + stored.content.len() + 64,
-        Record::Ran(None) | Record::Granted(_) | Record::Unknown => 64,
+        KeyRecord::Ran(Some(stored)) => stored.body.len() + stored.content_type.len() + 64,
+        KeyRecord::Ran(None) | KeyRecord::Granted(_) | KeyRecord::Unknown => 64,
     }
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -69,7 +69,7 @@
 /// A key in the form of a UUID of version 7 carries the time at which it was made. A home can then tell that
 /// no earlier home can have seen it; of any other key it must assume that it may be as old as the horizon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Keyed {
+pub struct CallerKey {
     /// The key.
     pub key: IdempotencyKey,
     /// When it was made, in milliseconds since the Unix epoch, by the caller's clock.
@@ -118,19 +118,19 @@
 /// The text is not an attempt id of this system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not an attempt id")]
-pub struct NotAnAttempt;
+pub struct ParseAttemptIdError;
 
 impl FromStr for AttemptId {
-    type Err = NotAnAttempt;
+    type Err = ParseAttemptIdError;
 
-    fn from_str(text: &str) -> Result<Self, NotAnAttempt> {
+    fn from_str(text: &str) -> Result<Self, ParseAttemptIdError> {
         let mut parts = text.split('-').map(|p| u64::from_str_radix(p, 16));
-        let mut next = || parts.next().and_then(Result::ok).ok_or(NotAnAttempt);
+        let mut next = || parts.next().and_then(Result::ok).ok_or(ParseAttemptIdError);
         let instance = InstanceId(next()?);
         let incarnation = next()?;
         let sequence = next()?;
-        let number = u32::try_from(next()?).map_err(|_| NotAnAttempt)?;
+        let number = u32::try_from(next()?).map_err(|_| ParseAttemptIdError)?;
         let request = RequestId { instance, incarnation, sequence };
-        if parts.next().is_some() { Err(NotAnAttempt) } else { Ok(Self { request, number }) }
+        if parts.next().is_some() { Err(ParseAttemptIdError) } else { Ok(Self { request, number }) }
     }
 }
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -12,8 +12,8 @@
 use crate::claims::Ended;
 use crate::counters::Counters;
 use crate::crashes::Loss;
-use crate::event::{Audit, Effect, Event, Offer, Report, Source};
-use crate::fleet::{EndpointView, Fleet, Placement};
+use crate::endpoints::{EndpointTable, EndpointView, Placement};
+use crate::event::{Audit, ConfigurationCandidate, Effect, EngineLoad, Event, Source};
 use crate::homes::{Claim, Finding, Homes, Replies};
 use crate::ids::RequestKey;
 use crate::limits::{Limits, TeamView};
@@ -25,7 +25,7 @@
 use crate::requests::Requests;
 use crate::slots::Slots;
 use crate::versions::{Verdict, Versions};
-use crate::{EndpointId, InstanceId, Listed, PoolId, RequestId};
+use crate::{EndpointId, InstanceId, InstanceList, PoolId, RequestId};
 
 /// Time between two load reports of an engine.
 const POLL: Duration = Duration::from_millis(500);
@@ -64,7 +64,7 @@
 
 /// What an operator sees of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct InstanceView {
     /// Configuration version in force, 0 for none.
     pub version: u64,
     /// List revision in use, 0 for none.
@@ -96,7 +96,7 @@
     pub(crate) rng: SmallRng,
     pub(crate) versions: Versions,
     pub(crate) members: Members,
-    pub(crate) fleet: Fleet,
+    pub(crate) endpoints: EndpointTable,
     pub(crate) homes: Homes,
     pub(crate) requests: Requests,
     pub(crate) queues: BTreeMap<String, Queue<RequestKey>>,
@@ -161,7 +161,7 @@
             rng: SmallRng::seed_from_u64(seed),
             versions: Versions::new(identity.deployment.clone()),
             members: Members::new(&identity, now),
-            fleet: Fleet::default(),
+            endpoints: EndpointTable::default(),
             homes: Homes::new(id, (now, identity.incarnation), horizon),
             requests: Requests::default(),
             queues: BTreeMap::new(),
@@ -183,7 +183,7 @@
             limits: Limits::new(now),
             started: now,
             ended: BTreeMap::new(),
-            budget: crate::flow::RETRY * 10,
+            budget: crate::lifecycle::RETRY * 10,
             counters: Counters::default(),
             next_poll: now,
             next_review: now,
@@ -201,7 +201,7 @@
     /// Sets how endpoints are chosen, for measurements against plain ways.
     #[must_use]
     pub fn with_placement(mut self, placement: Placement) -> Self {
-        self.fleet.set_placement(placement);
+        self.endpoints.set_placement(placement);
         self
     }
 
@@ -223,7 +223,7 @@
             Event::Advanced { attempt, offset } => self.advanced(now, attempt, offset),
             Event::Finished { attempt, offset, stored } => self.finished(now, attempt, offset, stored, out),
             Event::Called { attempt, stored } => self.called(now, attempt, stored, out),
-            Event::Failed { attempt, fault, offset } => self.failed(now, attempt, fault, offset, out),
+            Event::Failed { attempt, failure, offset } => self.failed(now, attempt, failure, offset, out),
             Event::Cancelled { attempt, endpoint, confirmed } => {
                 if confirmed {
                     self.cancels.confirmed(attempt, endpoint);
@@ -231,11 +231,13 @@
             }
             Event::Reported { endpoint, report } => self.reported(now, endpoint, &report, out),
             Event::Unreported { endpoint } => self.unreported(now, endpoint, out),
-            Event::Offered { offer, source } => self.offered(now, offer, source, out),
-            Event::Listed { list, source, asked } => self.listed(now, list, source, asked, out),
-            Event::Unchanged { revision, asked } => {
+            Event::ConfigurationRead { candidate, source } => self.offered(now, candidate, source, out),
+            Event::ListRead { list, source, read_started } => {
+                self.listed(now, list, source, read_started, out);
+            }
+            Event::ListUnchanged { revision, read_started } => {
                 if revision == self.members.revision() {
-                    self.homes.confirmed(asked);
+                    self.homes.confirmed(read_started);
                 }
             }
             Event::Received { from, message } => self.received(now, from, message, out),
@@ -245,8 +247,8 @@
     }
 
     /// What an operator sees.
-    pub fn snapshot(&self, now: Instant) -> Snapshot {
-        Snapshot {
+    pub fn view(&self, now: Instant) -> InstanceView {
+        InstanceView {
             version: self.versions.number(),
             revision: self.members.revision(),
             stopping: self.members.stopping,
@@ -255,7 +257,7 @@
             keys: self.homes.len(),
             cancels: self.cancels.len(),
             members: self.members.view(),
-            endpoints: self.fleet.view(now),
+            endpoints: self.endpoints.view(now),
             teams: self.team_views(),
             counters: self.counters.clone(),
         }
@@ -291,12 +293,18 @@
         self.versions.current().map_or_else(Policy::default, |c| c.policy.clone())
     }
 
-    fn offered(&mut self, now: Instant, offer: Offer, source: Source, out: &mut Vec<Effect>) {
-        let number = match &offer {
-            Offer::Valid { configuration, .. } => Some(configuration.version),
-            Offer::Invalid { version, .. } => *version,
+    fn offered(
+        &mut self,
+        now: Instant,
+        candidate: ConfigurationCandidate,
+        source: Source,
+        out: &mut Vec<Effect>,
+    ) {
+        let number = match &candidate {
+            ConfigurationCandidate::Valid { configuration, .. } => Some(configuration.version),
+            ConfigurationCandidate::Invalid { version, .. } => *version,
         };
-        match self.versions.offer(offer) {
+        match self.versions.offer(candidate) {
             Some(Verdict::Accepted) => self.in_force(now, source, out),
             Some(Verdict::Refused(cause)) => {
                 out.push(Effect::Audit(Audit::Refused { version: number, source, cause }));
@@ -309,7 +317,7 @@
         let Some(configuration) = self.versions.current().cloned() else {
             return;
         };
-        self.fleet.apply(&configuration);
+        self.endpoints.apply(&configuration);
         self.pools = configuration.pools.iter().map(|p| (PoolId::of(&p.name), p.name.clone())).collect();
         let pools = &self.pools;
         self.slots.retain(|id, _| pools.contains_key(id));
@@ -324,7 +332,14 @@
         self.pump_all(now, out);
     }
 
-    fn listed(&mut self, now: Instant, list: Listed, source: Source, asked: Instant, out: &mut Vec<Effect>) {
+    fn listed(
+        &mut self,
+        now: Instant,
+        list: InstanceList,
+        source: Source,
+        read_started: Instant,
+        out: &mut Vec<Effect>,
+    ) {
         let revision = list.revision;
         if self.members.accept(now, list) {
             self.homes.relisted(&self.members);
@@ -333,7 +348,7 @@
             self.reclaim(now, out);
         }
         if source == Source::Platform && revision == self.members.revision() {
-            self.homes.confirmed(asked);
+            self.homes.confirmed(read_started);
         }
     }
 
@@ -352,7 +367,7 @@
                 self.fetched(from, (version, revision), &name, address, out);
             }
             Message::Configuration { text } => {
-                self.offered(now, Offer::read(&text), Source::Peer(from), out);
+                self.offered(now, ConfigurationCandidate::parse(&text), Source::Peer(from), out);
             }
             Message::List(list) => self.listed(now, list, Source::Peer(from), now, out),
             Message::Claim { key, request, revision, born } => {
@@ -361,13 +376,13 @@
                 self.send_replies(now, replies, out);
             }
             Message::Claimed { key, request, answer } => self.claimed(now, from, key, request, answer, out),
-            Message::Settle { key, request, fate } => self.homes.settle(now, key, request, fate),
+            Message::Settle { key, request, outcome } => self.homes.settle(now, key, request, outcome),
             Message::Inquire { key, revision, born } => {
                 let reply = self.homes.inquire(now, &self.members, key, (revision, born));
                 self.deliver(now, from, reply, out);
             }
-            Message::Inquired { key, revision, record, whole, complete, homes } => {
-                let finding = Finding { revision, record, whole, complete, homes };
+            Message::Inquired { key, revision, record, own_grants_known, lists_known, homes } => {
+                let finding = Finding { revision, record, own_grants_known, lists_known, homes };
                 let replies = self.homes.inquired(now, &self.members, from, key, finding);
                 self.send_replies(now, replies, out);
             }
@@ -418,14 +433,14 @@
             // A start that knows nothing is not to find out by itself.
             self.deliver(now, from, news, out);
         }
-        for &rumour in &beat.rumours {
+        for &rumour in &beat.updates {
             changes.extend(self.members.rumour(now, rumour));
         }
         audit_health(changes, out);
         let behind = beat.version > self.versions.number() || beat.revision > self.members.revision();
         if behind && now >= self.next_fetch {
             self.next_fetch = now + FETCH;
-            let message = self.fetch();
+            let message = self.fetch_message();
             self.deliver(now, from, message, out);
         }
     }
@@ -454,7 +469,7 @@
     }
 
     /// A question for whatever a peer has that is newer.
-    pub fn fetch(&self) -> Message {
+    pub fn fetch_message(&self) -> Message {
         Message::Fetch {
             version: self.versions.number(),
             revision: self.members.revision(),
@@ -478,30 +493,30 @@
         }
     }
 
-    fn reported(&mut self, now: Instant, endpoint: EndpointId, report: &Report, out: &mut Vec<Effect>) {
+    fn reported(&mut self, now: Instant, endpoint: EndpointId, report: &EngineLoad, out: &mut Vec<Effect>) {
         let me = self.identity.id();
-        let Some(key) = self.fleet.find(endpoint) else {
+        let Some(key) = self.endpoints.find(endpoint) else {
             return;
         };
         self.lives(endpoint);
         let foreign = self.foreign(key, report);
-        if self.fleet.report(now, key, me, report, foreign) {
-            let name = self.fleet.get(key).name.clone();
+        if self.endpoints.report(now, key, me, report, foreign) {
+            let name = self.endpoints.get(key).name.clone();
             out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: true }));
         }
         self.cancel_orphans(now, endpoint, report, out);
-        let pool = PoolId::of(&self.fleet.get(key).pool);
+        let pool = PoolId::of(&self.endpoints.get(key).pool);
         self.assign(now, pool, out);
         self.pump_all(now, out);
     }
 
     fn unreported(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Effect>) {
-        let Some(key) = self.fleet.find(endpoint) else {
+        let Some(key) = self.endpoints.find(endpoint) else {
             return;
         };
         self.unreached(now, endpoint, out);
-        if self.fleet.unreported(key) {
-            let name = self.fleet.get(key).name.clone();
+        if self.endpoints.unreported(key) {
+            let name = self.endpoints.get(key).name.clone();
             out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: false }));
         }
     }
@@ -523,7 +538,7 @@
             self.next_review = now + REVIEW;
             audit_health(self.members.review(now), out);
             self.members.forget(now, self.homes.memory());
-            self.fleet.age(now);
+            self.endpoints.age(now);
             self.review_limits(now);
         }
         let replies = self.homes.tick(now, &self.members);
@@ -566,7 +581,7 @@
             .map(String::as_str)
             .filter(|pool| sweep || self.wants_reports(now, pool))
             .collect();
-        let engines = self.fleet.engines(|pool| wanted.contains(pool));
+        let engines = self.endpoints.engines(|pool| wanted.contains(pool));
         out.extend(engines.into_iter().map(|target| Effect::Poll { target }));
     }
 
@@ -576,7 +591,7 @@
             return;
         }
         let Some(drained) = self.drained else {
-            assert_eq!(self.fleet.taken(), 0, "no request is left, but slots are taken");
+            assert_eq!(self.endpoints.taken(), 0, "no request is left, but slots are taken");
             self.drained = Some(now);
             for (to, message) in self.homes.handover(&self.members) {
                 self.deliver(now, to, message, out);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,8 +6,8 @@
 //! same effects. A daemon runs one instance on its control thread; a test or bench runs many side by side
 //! in virtual time.
 //!
-//! Modules look down only: `instance` dispatches to `opening`, `flow` and `failures` (the steps of a request),
-//! `reservations` (its slots), `claims` (its idempotency key) and `crashes` (endpoints that go down under it), which use `requests`, `fleet`, `queue`, `homes`, `quarantine` and `orphans`; `members` and `versions`
+//! Modules look down only: `instance` dispatches to `new_request`, `lifecycle` and `failures` (the steps of a request),
+//! `reservations` (its slots), `claims` (its idempotency key) and `crashes` (endpoints that go down under it), which use `requests`, `endpoints`, `queue`, `homes`, `quarantine` and `orphans`; `members` and `versions`
 //! know nothing of requests.
 //!
 //! Invariants, asserted in the program:
@@ -23,20 +23,20 @@
 mod clock;
 mod counters;
 mod crashes;
+mod endpoints;
 mod error;
+mod estimates;
 mod event;
 mod failures;
 mod fingerprint;
-mod fleet;
-mod flow;
 mod homes;
 mod ids;
 mod instance;
-mod learning;
+mod lifecycle;
 mod limits;
 mod members;
 mod message;
-mod opening;
+mod new_request;
 mod orphans;
 mod quarantine;
 mod queue;
@@ -47,16 +47,19 @@
 
 pub use clock::{Clock, ManualClock, SystemClock};
 pub use counters::{ClassCounters, Counters};
+pub use endpoints::{EndpointTable, EndpointView, Placement};
 pub use error::{Answer, ErrorKind, Outcome, Refusal};
 pub use event::{
-    Audit, Call, Effect, Entry, Event, Fault, Generate, Listed, Offer, Report, Running, Source, Stored,
-    Target, Work,
+    Audit, Call, ConfigurationCandidate, Effect, EngineLoad, Event, Generate, InstanceEntry, InstanceList,
+    Running, Source, StepFailure, StoredResponse, Target, Work,
 };
 pub use fingerprint::Fingerprint;
-pub use fleet::{EndpointView, Fleet, Placement};
-pub use ids::{AttemptId, EndpointId, IdempotencyKey, InstanceId, Keyed, PoolId, RequestId, Ticket};
-pub use instance::{Identity, Instance, Snapshot};
-pub use limits::{Directory, TeamView};
+pub use ids::{AttemptId, CallerKey, EndpointId, IdempotencyKey, InstanceId, PoolId, RequestId, Ticket};
+pub use instance::{Identity, Instance, InstanceView};
+pub use limits::{TeamDirectory, TeamView};
 pub use members::{Health, MemberView};
-pub use message::{ClaimAnswer, Fate, Heartbeat, Message, Record, Reserve, Rumour, TeamNews};
-pub use quarantine::{Crash, CrashNews, CrashReport, EndpointStart, Quarantine};
+pub use message::{
+    ClaimAnswer, ClaimOutcome, HealthUpdate, Heartbeat, KeyRecord, Message, ReservationRequest,
+    SpendingReport,
+};
+pub use quarantine::{Crash, CrashReport, CrashUpdate, EndpointIncarnation, Quarantine};
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/lifecycle.rs
@@ -15,12 +15,12 @@
 
 use teaselshunt_settings::{Role, Team};
 
+use crate::endpoints::Need;
 use crate::error::{ErrorKind, Outcome, Refusal};
-use crate::event::{Audit, Effect, Fault, Stored, Work};
-use crate::fleet::Need;
+use crate::event::{Audit, Effect, StepFailure, StoredResponse, Work};
 use crate::ids::{EndpointKey, RequestKey};
 use crate::instance::Instance;
-use crate::message::Fate;
+use crate::message::ClaimOutcome;
 use crate::queue::Queue;
 use crate::requests::{Cache, Kind, Phase, Request};
 use crate::{AttemptId, Ticket};
@@ -76,16 +76,16 @@
             Kind::Generate { .. } => &[Role::Prefill, Role::Decode],
             Kind::Call { .. } => &[Role::Service],
         };
-        roles.iter().all(|&r| self.fleet.serves(now, &request.pool, r))
+        roles.iter().all(|&r| self.endpoints.serves(now, &request.pool, r))
     }
 
     /// Why a request of which nothing ran gets no slot, and when to come back.
     pub(crate) fn no_slot(&self, now: Instant, request: &Request) -> Refusal {
         if !self.served(now, request) {
-            return Refusal::later(ErrorKind::NoEndpoint, ELSEWHERE);
+            return Refusal::retryable(ErrorKind::NoEndpoint, ELSEWHERE);
         }
         let wait = self.expected_wait(now, request).clamp(ELSEWHERE, LATEST);
-        Refusal::later(ErrorKind::Overloaded, wait)
+        Refusal::retryable(ErrorKind::Overloaded, wait)
     }
 
     /// A configuration came into force: requests that wait for endpoints that it no longer has are given up
@@ -97,7 +97,7 @@
             self.withdraw(now, key, out);
             let request = self.requests.get(key);
             let refusal = if request.may_have_run() {
-                Refusal::later(ErrorKind::EndpointFailed, ELSEWHERE)
+                Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE)
             } else {
                 self.no_slot(now, request)
             };
@@ -133,7 +133,7 @@
     /// pool have come free lately.
     pub(crate) fn expected_wait(&self, now: Instant, request: &Request) -> Duration {
         let ahead = self.queues.get(&request.pool).map_or(0, |q| q.ahead(request.priority));
-        let slots = self.fleet.capacity(now, &request.pool, role(&request.kind)).max(1);
+        let slots = self.endpoints.capacity(now, &request.pool, role(&request.kind)).max(1);
         let held = self.holds.get(&request.pool).copied().unwrap_or_default();
         held * (ahead as u32) / slots
     }
@@ -186,10 +186,10 @@
         decode: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        self.fleet.take(decode);
-        self.fleet.take(prefill);
+        self.endpoints.take(decode);
+        self.endpoints.take(prefill);
         let timeout = self.step_timeout();
-        let target = self.fleet.get(prefill).target();
+        let target = self.endpoints.get(prefill).target();
         let request = self.begin(key, Phase::Prefilling { prefill, decode });
         request.held = now;
         request.resumed = false;
@@ -214,8 +214,8 @@
         let Some(endpoint) = self.choose(now, key, Role::Service) else {
             return false;
         };
-        self.fleet.take(endpoint);
-        let target = self.fleet.get(endpoint).target();
+        self.endpoints.take(endpoint);
+        let target = self.endpoints.get(endpoint).target();
         let request = self.begin(key, Phase::Calling { endpoint });
         request.held = now;
         let left = request.deadline.saturating_duration_since(now);
@@ -252,13 +252,13 @@
         let request = self.requests.get(key);
         let domain = &self.identity.domain;
         let mut need = Need { pool: &request.pool, role, domain, tried: &request.tried, percent };
-        let fresh = self.fleet.choose(now, &need, &mut self.rng);
+        let fresh = self.endpoints.choose(now, &need, &mut self.rng);
         if fresh.is_some() || request.tried.is_empty() {
             return fresh;
         }
         // Every endpoint failed it once: any of them is better than none.
         need.tried = &[];
-        self.fleet.choose(now, &need, &mut self.rng)
+        self.endpoints.choose(now, &need, &mut self.rng)
     }
 
     pub(crate) fn prefilled(&mut self, now: Instant, attempt: AttemptId, out: &mut Vec<Effect>) {
@@ -289,16 +289,16 @@
         (prefill, decode): (EndpointKey, EndpointKey),
         out: &mut Vec<Effect>,
     ) {
-        if !self.fleet.is_leaving(decode) {
+        if !self.endpoints.is_leaving(decode) {
             return self.import(key, prefill, decode, out);
         }
         self.release_decode(now, key, decode, out);
         let Some(other) = self.choose(now, key, Role::Decode) else {
             self.waste(now, key, out);
             self.back_to_waiting(key);
-            return self.retry(now, key, Fault::Leaving, out);
+            return self.retry(now, key, StepFailure::Leaving, out);
         };
-        self.fleet.take(other);
+        self.endpoints.take(other);
         self.import(key, prefill, other, out);
     }
 
@@ -310,8 +310,8 @@
         out: &mut Vec<Effect>,
     ) {
         let timeout = self.step_timeout();
-        let origin = self.fleet.get(prefill).target();
-        let target = self.fleet.get(decode).target();
+        let origin = self.endpoints.get(prefill).target();
+        let target = self.endpoints.get(decode).target();
         let request = self.requests.get_mut(key);
         request.phase = Phase::Importing { prefill, decode };
         let effect =
@@ -338,8 +338,8 @@
         resume: Option<AttemptId>,
         out: &mut Vec<Effect>,
     ) {
-        let stall = Duration::from_millis(self.policy().stall_ms);
-        let target = self.fleet.get(decode).target();
+        let stall_timeout = Duration::from_millis(self.policy().stall_ms);
+        let target = self.endpoints.get(decode).target();
         let request = self.requests.get_mut(key);
         request.phase = Phase::Decoding { decode };
         let effect = Effect::Decode {
@@ -348,7 +348,7 @@
             target,
             resume,
             priority: request.priority,
-            stall,
+            stall_timeout,
         };
         out.push(effect);
     }
@@ -371,7 +371,7 @@
         now: Instant,
         attempt: AttemptId,
         offset: u32,
-        stored: Option<Stored>,
+        stored: Option<StoredResponse>,
         out: &mut Vec<Effect>,
     ) {
         self.advanced(now, attempt, offset);
@@ -388,7 +388,7 @@
         &mut self,
         now: Instant,
         attempt: AttemptId,
-        stored: Option<Stored>,
+        stored: Option<StoredResponse>,
         out: &mut Vec<Effect>,
     ) {
         let Some(key) = self.requests.current(attempt) else {
@@ -406,7 +406,7 @@
         now: Instant,
         key: RequestKey,
         endpoint: EndpointKey,
-        stored: Option<Stored>,
+        stored: Option<StoredResponse>,
         out: &mut Vec<Effect>,
     ) {
         self.succeeded(endpoint, out);
@@ -414,8 +414,8 @@
         self.learn_hold(now, key);
         self.release_decode(now, key, endpoint, out);
         let request = self.close(now, key);
-        self.quarantine.served(now, request.fingerprint);
-        self.settle(now, &request, Fate::Ran(stored), out);
+        self.quarantine.observe_success(now, request.fingerprint);
+        self.settle(now, &request, ClaimOutcome::Ran(stored), out);
         self.pump(now, &request.pool, out);
     }
 
@@ -432,11 +432,11 @@
             request.gone = true;
             return;
         }
-        let fate = if request.may_have_run() { Fate::Unknown } else { Fate::NotRun };
+        let outcome = if request.may_have_run() { ClaimOutcome::Unknown } else { ClaimOutcome::NotRun };
         self.withdraw(now, key, out);
         let request = self.close(now, key);
         self.forgo(now, &request);
-        self.settle(now, &request, fate, out);
+        self.settle(now, &request, outcome, out);
         self.pump(now, &request.pool, out);
     }
 
@@ -472,7 +472,7 @@
                 }
                 self.release_decode(now, key, decode, out);
             }
-            Phase::Calling { endpoint } => self.fleet.release(endpoint),
+            Phase::Calling { endpoint } => self.endpoints.release(endpoint),
         }
     }
 
@@ -483,7 +483,7 @@
         prefill: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        self.fleet.release(prefill);
+        self.endpoints.release(prefill);
         self.free_lease(now, key, (true, false), out);
     }
 
@@ -494,7 +494,7 @@
         decode: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        self.fleet.release(decode);
+        self.endpoints.release(decode);
         self.free_lease(now, key, (false, true), out);
     }
 
@@ -514,7 +514,7 @@
         endpoint: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        let target = self.fleet.get(endpoint).target();
+        let target = self.endpoints.get(endpoint).target();
         if self.cancels.begin(now, attempt, target.id) {
             out.push(Effect::Cancel { attempt, target });
         }
@@ -526,9 +526,9 @@
         let not_run = refusal.kind.answer().outcome == Outcome::NotRun;
         assert!(!(not_run && request.may_have_run()), "{} is called not run, but may have run", request.id);
         self.count_refusal(refusal.kind);
-        let fate = if request.may_have_run() { Fate::Unknown } else { Fate::NotRun };
+        let outcome = if request.may_have_run() { ClaimOutcome::Unknown } else { ClaimOutcome::NotRun };
         self.forgo(now, &request);
-        self.settle(now, &request, fate, out);
+        self.settle(now, &request, outcome, out);
         if !request.gone {
             out.push(Effect::Refuse { ticket: request.ticket, refusal });
         }
@@ -541,10 +541,10 @@
             let late = now >= request.deadline;
             let (ran, phase) = (request.may_have_run(), request.phase);
             let refusal = match phase {
-                Phase::Claiming => Refusal::later(ErrorKind::KeyUnknown, ELSEWHERE),
+                Phase::Claiming => Refusal::retryable(ErrorKind::KeyUnknown, ELSEWHERE),
                 _ if late && ran => Refusal::new(ErrorKind::DeadlinePassed),
                 _ if late => Refusal::new(ErrorKind::Expired),
-                _ if ran => Refusal::later(ErrorKind::EndpointFailed, ELSEWHERE),
+                _ if ran => Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE),
                 _ => self.no_slot(now, request),
             };
             self.withdraw(now, key, out);
@@ -553,9 +553,9 @@
     }
 
     pub(crate) fn succeeded(&mut self, endpoint: EndpointKey, out: &mut Vec<Effect>) {
-        self.lives(self.fleet.get(endpoint).target().id);
-        if self.fleet.succeeded(endpoint) {
-            let name = self.fleet.get(endpoint).name.clone();
+        self.lives(self.endpoints.get(endpoint).target().id);
+        if self.endpoints.succeeded(endpoint) {
+            let name = self.endpoints.get(endpoint).name.clone();
             out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: true }));
         }
     }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -17,7 +17,7 @@
 use crate::ids::RequestKey;
 use crate::instance::Instance;
 use crate::members::Health;
-use crate::message::{Message, TeamNews};
+use crate::message::{Message, SpendingReport};
 use crate::requests::{Kind, Request};
 
 /// Time between two tellings of what teams near their limits were admitted.
@@ -47,7 +47,7 @@
 
 /// Who holds which key in a version.
 #[derive(Debug)]
-pub struct Directory {
+pub struct TeamDirectory {
     /// Teams and their keys.
     pub teams: Teams,
     /// Services whose callers need none.
@@ -55,7 +55,7 @@
 }
 
 /// `None` where no team has a key, and callers name their team themselves.
-fn directory(configuration: &Configuration) -> Option<Directory> {
+fn team_directory(configuration: &Configuration) -> Option<TeamDirectory> {
     if configuration.teams.iter().all(|team| team.keys.is_empty()) {
         return None;
     }
@@ -64,7 +64,7 @@
         (known(team), keys)
     });
     let public = configuration.services.iter().filter(|service| service.public);
-    Some(Directory { teams: Teams::new(teams), public: public.map(|s| s.name.clone()).collect() })
+    Some(TeamDirectory { teams: Teams::new(teams), public: public.map(|s| s.name.clone()).collect() })
 }
 
 fn known(team: &teaselshunt_settings::Team) -> Team {
@@ -96,8 +96,8 @@
 
 impl Instance {
     /// Who holds which key in the version in force; `None` where callers name their team themselves.
-    pub fn directory(&self) -> Option<Directory> {
-        directory(self.versions.current()?)
+    pub fn team_directory(&self) -> Option<TeamDirectory> {
+        team_directory(self.versions.current()?)
     }
 
     /// Time of the accounts.
@@ -133,7 +133,7 @@
             Err(shortage) => {
                 // Spread, so that those who were refused together do not come back together.
                 let wait = shortage.wait + shortage.backlog.mul_f64(self.rng.random_range(0.0..1.0));
-                Err(Refusal::later(ErrorKind::QuotaExceeded, wait))
+                Err(Refusal::retryable(ErrorKind::QuotaExceeded, wait))
             }
         }
     }
@@ -171,7 +171,7 @@
             return;
         }
         self.limits.sequence += 1;
-        let news = TeamNews {
+        let news = SpendingReport {
             incarnation: self.identity.incarnation,
             sequence: self.limits.sequence,
             stopping: self.members.stopping,
@@ -184,8 +184,8 @@
     }
 
     /// A member tells what it admitted.
-    pub(crate) fn told_spending(&mut self, now: Instant, from: InstanceId, news: TeamNews) {
-        let TeamNews { incarnation, sequence, stopping, spent } = news;
+    pub(crate) fn told_spending(&mut self, now: Instant, from: InstanceId, news: SpendingReport) {
+        let SpendingReport { incarnation, sequence, stopping, spent } = news;
         let hearing = Hearing { life: incarnation, sequence, domain: 0, leaving: stopping, instances: 1 };
         let at = self.account_time(now);
         if self.limits.quotas.heard(at, from, hearing) {
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -17,9 +17,9 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::event::{Entry, Listed};
+use crate::event::{InstanceEntry, InstanceList};
 use crate::instance::Identity;
-use crate::message::{Heartbeat, Rumour};
+use crate::message::{HealthUpdate, Heartbeat};
 use crate::{IdempotencyKey, InstanceId, PoolId};
 
 /// Time between two heartbeats to the same neighbour.
@@ -116,7 +116,7 @@
     domain: String,
     incarnation: u64,
     epoch: u32,
-    pub(crate) list: Option<Listed>,
+    pub(crate) list: Option<InstanceList>,
     /// The earliest use of that list, by any member, that is known here.
     listed: Option<Instant>,
     /// The earliest known use of a list since which all lists have been in use here, if that is not the one in use.
@@ -126,7 +126,7 @@
     /// Instances that the list had once.
     dropped: BTreeMap<InstanceId, Dropped>,
     neighbours: Vec<InstanceId>,
-    rumours: BTreeMap<InstanceId, (Rumour, u32)>,
+    updates: BTreeMap<InstanceId, (HealthUpdate, u32)>,
     started: Instant,
     next_beat: Instant,
     pub(crate) stopping: bool,
@@ -149,7 +149,7 @@
             others: BTreeMap::new(),
             dropped: BTreeMap::new(),
             neighbours: Vec::new(),
-            rumours: BTreeMap::new(),
+            updates: BTreeMap::new(),
             started,
             next_beat: started,
             stopping: false,
@@ -164,7 +164,7 @@
     }
 
     /// Takes a list in if it is newer than the one in use.
-    pub(crate) fn accept(&mut self, now: Instant, list: Listed) -> bool {
+    pub(crate) fn accept(&mut self, now: Instant, list: InstanceList) -> bool {
         if list.revision <= self.revision() {
             return false;
         }
@@ -206,7 +206,7 @@
     }
 
     /// This instance by the list in use.
-    fn listed_self(&self) -> Option<&Entry> {
+    fn listed_self(&self) -> Option<&InstanceEntry> {
         self.list.as_ref()?.instances.iter().find(|entry| InstanceId::of(&entry.name) == self.me)
     }
 
@@ -370,7 +370,7 @@
             match member.health {
                 Health::Alive | Health::Unknown if member.unanswered > MISSES => {
                     member.health = Health::Suspect(now);
-                    self.rumours.insert(id, (member.rumour(id, true), 0));
+                    self.updates.insert(id, (member.rumour(id, true), 0));
                 }
                 Health::Suspect(since) if now.duration_since(since) > SUSPICION => {
                     member.health = Health::Dead(now);
@@ -385,18 +385,18 @@
     /// What this instance says of itself now, with the rumours that have been told least.
     pub(crate) fn heartbeat(&mut self, now: Instant, version: u64) -> Heartbeat {
         let limit = 3 * (self.others.len() + 2).ilog2();
-        let mut fresh: Vec<InstanceId> = self.rumours.keys().copied().collect();
-        fresh.sort_by_key(|id| self.rumours[id].1);
+        let mut fresh: Vec<InstanceId> = self.updates.keys().copied().collect();
+        fresh.sort_by_key(|id| self.updates[id].1);
         fresh.truncate(RUMOURS);
-        let mut rumours = Vec::with_capacity(fresh.len());
+        let mut updates = Vec::with_capacity(fresh.len());
         for id in fresh {
-            let Some((rumour, told)) = self.rumours.get_mut(&id) else {
+            let Some((rumour, told)) = self.updates.get_mut(&id) else {
                 continue;
             };
-            rumours.push(*rumour);
+            updates.push(*rumour);
             *told += 1;
             if *told > limit {
-                self.rumours.remove(&id);
+                self.updates.remove(&id);
             }
         }
         Heartbeat {
@@ -407,7 +407,7 @@
             revision: self.revision(),
             listed_ms: self.listed.map_or(0, |at| now.duration_since(at).as_millis() as u64),
             stopping: self.stopping,
-            rumours,
+            updates,
         }
     }
 
@@ -442,7 +442,7 @@
         member.leaving |= beat.stopping;
         let before = std::mem::replace(&mut member.health, Health::Alive);
         if news {
-            self.rumours.insert(from, (member.rumour(from, false), 0));
+            self.updates.insert(from, (member.rumour(from, false), 0));
         }
         (before != Health::Alive).then_some((from, Health::Alive))
     }
@@ -485,7 +485,7 @@
     }
 
     /// Takes in a rumour; returns a change of health.
-    pub(crate) fn rumour(&mut self, now: Instant, rumour: Rumour) -> Option<(InstanceId, Health)> {
+    pub(crate) fn rumour(&mut self, now: Instant, rumour: HealthUpdate) -> Option<(InstanceId, Health)> {
         if rumour.instance == self.me {
             self.refute(rumour);
             return None;
@@ -510,12 +510,12 @@
         if !rumour.suspect {
             member.unanswered = 0;
         }
-        self.rumours.insert(rumour.instance, (rumour, 0));
+        self.updates.insert(rumour.instance, (rumour, 0));
         (before != health).then_some((rumour.instance, health))
     }
 
     /// Answers a suspicion of this instance with a higher epoch, which overrides it everywhere.
-    fn refute(&mut self, rumour: Rumour) {
+    fn refute(&mut self, rumour: HealthUpdate) {
         if rumour.suspect && rumour.incarnation == self.incarnation && rumour.epoch >= self.epoch {
             self.epoch = rumour.epoch + 1;
         }
@@ -551,8 +551,8 @@
         }
     }
 
-    fn rumour(&self, id: InstanceId, suspect: bool) -> Rumour {
-        Rumour { instance: id, incarnation: self.incarnation, epoch: self.epoch, suspect }
+    fn rumour(&self, id: InstanceId, suspect: bool) -> HealthUpdate {
+        HealthUpdate { instance: id, incarnation: self.incarnation, epoch: self.epoch, suspect }
     }
 }
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -6,7 +6,9 @@
 use teaselshunt_teams::Spending;
 
 use crate::quarantine::CrashReport;
-use crate::{EndpointId, Fingerprint, IdempotencyKey, InstanceId, Listed, PoolId, RequestId, Stored};
+use crate::{
+    EndpointId, Fingerprint, IdempotencyKey, InstanceId, InstanceList, PoolId, RequestId, StoredResponse,
+};
 
 /// A message from one instance to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +39,7 @@
         text: String,
     },
     /// The list of instances in use here.
-    List(Listed),
+    List(InstanceList),
     /// May I run the request with this idempotency key?
     Claim {
         /// The key.
@@ -65,7 +67,8 @@
         /// The request that held the claim.
         request: RequestId,
         /// What became of it.
-        fate: Fate,
+        #[serde(rename = "fate")]
+        outcome: ClaimOutcome,
     },
     /// Have you ever granted this key? Answering at this revision also gives up every older claim to it.
     Inquire {
@@ -83,17 +86,19 @@
         /// List revision of the one that answers; lower than asked means that it cannot answer yet.
         revision: u64,
         /// The grant on record.
-        record: Option<Record>,
+        record: Option<KeyRecord>,
         /// Whether this process has run since before the key can have been granted, so that no record means no
         /// grant of its own. An instance that was started again remembers nothing of its former life.
-        whole: bool,
+        #[serde(rename = "whole")]
+        own_grants_known: bool,
         /// Whether the sender knows all lists by which the key can have been granted.
-        complete: bool,
+        #[serde(rename = "complete")]
+        lists_known: bool,
         /// Homes of the key by those lists that may have granted it, but for the sender.
         homes: Vec<InstanceId>,
     },
     /// May I have a slot pair for a request? Asked of the pool's owner, and asked again without harm.
-    Reserve(Reserve),
+    Reserve(ReservationRequest),
     /// The request waits here.
     Queued {
         /// The request.
@@ -142,7 +147,7 @@
         /// Start of the sender, in milliseconds since the Unix epoch.
         incarnation: u64,
         /// Keys and what became of them.
-        records: Vec<(IdempotencyKey, Record)>,
+        records: Vec<(IdempotencyKey, KeyRecord)>,
         /// Whether these are the last.
         last: bool,
     },
@@ -154,12 +159,12 @@
         served: Vec<Fingerprint>,
     },
     /// What teams near their limits were admitted.
-    Spending(TeamNews),
+    Spending(SpendingReport),
 }
 
 /// What a sender has admitted of teams near their limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TeamNews {
+pub struct SpendingReport {
     /// Start of the sender, in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Grows with each of its tellings.
@@ -172,7 +177,7 @@
 
 /// What a request needs of its pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reserve {
+pub struct ReservationRequest {
     /// The pool.
     pub pool: PoolId,
     /// The request.
@@ -193,22 +198,22 @@
 
 /// What a home knows of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Record {
+pub enum KeyRecord {
     /// Granted, and not settled yet.
     Granted(RequestId),
     /// Ran; the answer is kept if it was small.
-    Ran(Option<Stored>),
+    Ran(Option<StoredResponse>),
     /// May have run: whoever held the claim is gone.
     Unknown,
 }
 
 /// What became of a request that held a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum ClaimOutcome {
     /// It provably did not run, so the key is free again.
     NotRun,
     /// It ran; the answer is kept if it was small.
-    Ran(Option<Stored>),
+    Ran(Option<StoredResponse>),
     /// It may have run.
     Unknown,
 }
@@ -221,7 +226,7 @@
     /// Another request with this key is in progress.
     InUse,
     /// It ran.
-    Ran(Option<Stored>),
+    Ran(Option<StoredResponse>),
     /// It cannot be told now.
     Unknown,
     /// It will not be told for as long as the key is good.
@@ -248,12 +253,13 @@
     /// Whether the sender is stopping.
     pub stopping: bool,
     /// News of others, newest first, at most eight.
-    pub rumours: Vec<Rumour>,
+    #[serde(rename = "rumours")]
+    pub updates: Vec<HealthUpdate>,
 }
 
 /// News of an instance's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct HealthUpdate {
     /// The instance.
     pub instance: InstanceId,
     /// Its incarnation.
--- a/crates/core/src/opening.rs
+++ b/crates/core/src/new_request.rs
@@ -4,9 +4,9 @@
 
 use crate::error::{ErrorKind, Refusal};
 use crate::event::{Call, Effect, Generate, Work};
-use crate::flow::ELSEWHERE;
 use crate::instance::Instance;
-use crate::requests::{Kind, Opening};
+use crate::lifecycle::ELSEWHERE;
+use crate::requests::{Kind, NewRequest};
 use crate::{RequestId, Ticket};
 
 /// Wait for a service slot: callers of plain services are quick, and so are the services.
@@ -21,12 +21,12 @@
         out.push(Effect::Refuse { ticket, refusal });
     }
 
-    pub(crate) fn opening(&self, ticket: Ticket, work: Work) -> Result<Opening, Refusal> {
+    pub(crate) fn opening(&self, ticket: Ticket, work: Work) -> Result<NewRequest, Refusal> {
         if self.members.stopping {
-            return Err(Refusal::later(ErrorKind::Stopping, ELSEWHERE));
+            return Err(Refusal::retryable(ErrorKind::Stopping, ELSEWHERE));
         }
         if self.versions.current().is_none() {
-            return Err(Refusal::later(ErrorKind::NotReady, ELSEWHERE));
+            return Err(Refusal::retryable(ErrorKind::NotReady, ELSEWHERE));
         }
         match work {
             Work::Generate(generate) => self.open_generate(ticket, generate),
@@ -34,19 +34,19 @@
         }
     }
 
-    pub(crate) fn open_generate(&self, ticket: Ticket, work: Generate) -> Result<Opening, Refusal> {
+    pub(crate) fn open_generate(&self, ticket: Ticket, work: Generate) -> Result<NewRequest, Refusal> {
         let unknown = Refusal::new(ErrorKind::UnknownModel);
         let configuration = self.versions.current().ok_or(unknown)?;
         let model = configuration.models.iter().find(|m| m.name == work.model).ok_or(unknown)?;
         let class = configuration.classes.iter().find(|c| c.name == model.class).ok_or(unknown)?;
         let kind = Kind::Generate {
-            prompt: work.prompt,
-            limit: work.limit,
+            prompt: work.prompt_tokens,
+            limit: work.max_tokens,
             first: Duration::from_millis(class.first_ms),
             gap: Duration::from_millis(class.gap_ms),
-            again: work.again,
+            retry: work.retry,
         };
-        Ok(Opening {
+        Ok(NewRequest {
             ticket,
             id: self.request_id(ticket),
             kind,
@@ -61,7 +61,7 @@
         })
     }
 
-    pub(crate) fn open_call(&self, ticket: Ticket, work: &Call) -> Result<Opening, Refusal> {
+    pub(crate) fn open_call(&self, ticket: Ticket, work: &Call) -> Result<NewRequest, Refusal> {
         let unknown = Refusal::new(ErrorKind::UnknownService);
         let configuration = self.versions.current().ok_or(unknown)?;
         let service = configuration.services.iter().find(|s| s.name == work.service).ok_or(unknown)?;
@@ -69,7 +69,7 @@
             repeatable: service.repeatable.contains(&work.method),
             timeout: Duration::from_millis(service.timeout_ms),
         };
-        Ok(Opening {
+        Ok(NewRequest {
             ticket,
             id: self.request_id(ticket),
             kind,
--- a/crates/core/src/orphans.rs
+++ b/crates/core/src/orphans.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::event::{Audit, Effect, Report};
+use crate::event::{Audit, Effect, EngineLoad};
 use crate::instance::Instance;
 use crate::members::{Health, Members};
 use crate::{AttemptId, EndpointId, InstanceId};
@@ -102,13 +102,13 @@
         &mut self,
         now: Instant,
         endpoint: EndpointId,
-        report: &Report,
+        report: &EngineLoad,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.fleet.find(endpoint) else {
+        let Some(key) = self.endpoints.find(endpoint) else {
             return;
         };
-        let target = self.fleet.get(key).target();
+        let target = self.endpoints.get(key).target();
         let fresh = self.homes.fresh(now);
         for running in &report.running {
             self.members.note_start(running.attempt.request.instance, running.attempt.request.incarnation);
@@ -127,7 +127,7 @@
             }
             self.counters.orphans += 1;
             out.push(Effect::Cancel { attempt, target });
-            let name = self.fleet.get(key).name.clone();
+            let name = self.endpoints.get(key).name.clone();
             out.push(Effect::Audit(Audit::Orphan { attempt, endpoint: name }));
         }
     }
@@ -146,8 +146,8 @@
 
     pub(crate) fn resend_cancels(&mut self, now: Instant, out: &mut Vec<Effect>) {
         for (attempt, endpoint) in self.cancels.due(now) {
-            if let Some(key) = self.fleet.find(endpoint) {
-                let target = self.fleet.get(key).target();
+            if let Some(key) = self.endpoints.find(endpoint) {
+                let target = self.endpoints.get(key).target();
                 out.push(Effect::Cancel { attempt, target });
             }
         }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -43,7 +43,7 @@
 
 /// One start of an endpoint, by a number that is the same on every instance. Two that share a number by chance count as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct EndpointStart(pub u64);
+pub struct EndpointIncarnation(pub u64);
 
 /// An endpoint crashed under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     /// The request.
     pub request: Fingerprint,
     /// The endpoint.
-    pub endpoint: EndpointStart,
+    pub endpoint: EndpointIncarnation,
     /// When.
     pub at: Instant,
 }
@@ -62,14 +62,14 @@
     /// The request.
     pub request: Fingerprint,
     /// The endpoint.
-    pub endpoint: EndpointStart,
+    pub endpoint: EndpointIncarnation,
     /// How long ago, in milliseconds.
     pub age_ms: u32,
 }
 
 impl CrashReport {
     /// A crash as it is told now.
-    pub fn of(now: Instant, crash: Crash) -> Self {
+    pub fn new(now: Instant, crash: Crash) -> Self {
         let age = now.saturating_duration_since(crash.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
         Self { request: crash.request, endpoint: crash.endpoint, age_ms }
@@ -85,7 +85,7 @@
 
 /// What peers are told.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// Crashes.
     pub crashes: Vec<Crash>,
     /// Requests that were answered whole after endpoints had crashed under them.
@@ -104,7 +104,7 @@
 }
 
 impl Record {
-    fn has(&self, endpoint: EndpointStart) -> bool {
+    fn has(&self, endpoint: EndpointIncarnation) -> bool {
         self.crashes.iter().any(|crash| crash.endpoint == endpoint)
     }
 
@@ -163,12 +163,12 @@
     }
 
     /// An endpoint crashed under a request of this instance. Says whether the request is in quarantine since.
-    pub fn crashed(&mut self, now: Instant, crash: Crash) -> bool {
+    pub fn observe_crash(&mut self, now: Instant, crash: Crash) -> bool {
         self.note(now, crash, true)
     }
 
     /// A peer says that an endpoint crashed under a request. Says whether the request is in quarantine since.
-    pub fn told(&mut self, now: Instant, crash: Crash) -> bool {
+    pub fn merge_crash(&mut self, now: Instant, crash: Crash) -> bool {
         self.note(now, crash, false)
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// A request was answered whole here.
-    pub fn served(&mut self, now: Instant, request: Fingerprint) {
+    pub fn observe_success(&mut self, now: Instant, request: Fingerprint) {
         self.served.insert(now, request);
         if self.records.remove(&request).is_some() {
             self.cleared.push((now, request));
@@ -221,7 +221,7 @@
     }
 
     /// A peer says that a request under which endpoints had crashed was answered whole.
-    pub fn told_served(&mut self, now: Instant, request: Fingerprint) {
+    pub fn merge_success(&mut self, now: Instant, request: Fingerprint) {
         self.served.insert(now, request);
         self.records.remove(&request);
     }
@@ -233,7 +233,7 @@
 
     /// What peers are told now: what was new here a moment ago, and if some of them are new, all that keeps requests in
     /// quarantine. An instance that starts knows nothing, and is not to find out by itself.
-    pub fn news(&self, now: Instant, newcomers: bool) -> CrashNews {
+    pub fn update(&self, now: Instant, newcomers: bool) -> CrashUpdate {
         let recent = |at: Instant| now.duration_since(at) < TOLD;
         let told = |r: &&Record| r.own.is_some_and(recent) || (newcomers && r.until(now).is_some());
         let mut crashes: Vec<_> =
@@ -242,7 +242,7 @@
         crashes.truncate(TELLING);
         let cleared = self.cleared.iter().rev().filter(|(at, _)| recent(*at));
         let served = cleared.take(TELLING).map(|(_, request)| *request).collect();
-        CrashNews { crashes, served }
+        CrashUpdate { crashes, served }
     }
 
     /// Forgets what is too old.
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -9,7 +9,7 @@
 
 use crate::ids::{EndpointKey, RequestKey};
 use crate::limits::Charge;
-use crate::{AttemptId, Fingerprint, InstanceId, Keyed, RequestId, Ticket};
+use crate::{AttemptId, CallerKey, Fingerprint, InstanceId, RequestId, Ticket};
 
 /// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 /// What the request needs, from the configuration in force when it arrived.
 #[derive(Debug, Clone)]
 pub(crate) enum Kind {
-    Generate { prompt: u32, limit: u32, first: Duration, gap: Duration, again: bool },
+    Generate { prompt: u32, limit: u32, first: Duration, gap: Duration, retry: bool },
     Call { repeatable: bool, timeout: Duration },
 }
 
@@ -66,7 +66,7 @@
     pub(crate) priority: u8,
     /// Longest wait for a slot.
     pub(crate) wait: Duration,
-    pub(crate) key: Option<Keyed>,
+    pub(crate) key: Option<CallerKey>,
     /// What its team was charged.
     pub(crate) charge: Option<Charge>,
     pub(crate) fingerprint: Fingerprint,
@@ -125,7 +125,7 @@
 
 /// What a request is made of.
 #[derive(Debug)]
-pub(crate) struct Opening {
+pub(crate) struct NewRequest {
     pub(crate) ticket: Ticket,
     pub(crate) id: RequestId,
     pub(crate) kind: Kind,
@@ -134,7 +134,7 @@
     pub(crate) team: String,
     pub(crate) priority: u8,
     pub(crate) wait: Duration,
-    pub(crate) key: Option<Keyed>,
+    pub(crate) key: Option<CallerKey>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) deadline: Duration,
 }
@@ -148,7 +148,7 @@
 }
 
 impl Requests {
-    pub(crate) fn open(&mut self, now: Instant, opening: Opening) -> RequestKey {
+    pub(crate) fn open(&mut self, now: Instant, opening: NewRequest) -> RequestKey {
         let deadline = now + opening.deadline;
         let ticket = opening.ticket;
         let key = self.arena.insert(Request {
--- a/crates/core/src/reservations.rs
+++ b/crates/core/src/reservations.rs
@@ -5,13 +5,13 @@
 
 use teaselshunt_settings::Role;
 
+use crate::endpoints::{Need, Placement};
 use crate::error::{ErrorKind, Refusal};
-use crate::event::{Effect, Report};
-use crate::fleet::{Need, Placement};
-use crate::flow::{ELSEWHERE, weight};
+use crate::event::{Effect, EngineLoad};
 use crate::ids::{EndpointKey, RequestKey};
 use crate::instance::Instance;
-use crate::message::{Message, Reserve};
+use crate::lifecycle::{ELSEWHERE, weight};
+use crate::message::{Message, ReservationRequest};
 use crate::requests::{Asked, Kind, Phase};
 use crate::slots::{Ask, Slots};
 use crate::{EndpointId, InstanceId, PoolId, RequestId, Ticket};
@@ -32,7 +32,7 @@
     /// Whether the request gets its slots from the pool's owner.
     pub(crate) fn asks_owner(&self, key: RequestKey) -> bool {
         let generates = matches!(self.requests.get(key).kind, Kind::Generate { .. });
-        generates && self.fleet.placement() == Placement::Owner
+        generates && self.endpoints.placement() == Placement::Owner
     }
 
     /// Asks the pool's owner for a slot pair.
@@ -40,12 +40,12 @@
         let request = self.requests.get(key);
         let pool = PoolId::of(&request.pool);
         let owner = self.members.owner(pool);
-        let Kind::Generate { prompt, first, again, .. } = request.kind else {
+        let Kind::Generate { prompt, first, retry, .. } = request.kind else {
             return;
         };
         let start_by = if request.offset > 0 {
             now + RESTART
-        } else if again {
+        } else if retry {
             request.arrived
         } else {
             let lead = self.lead(&request.pool, prompt);
@@ -53,7 +53,7 @@
         };
         let waited = now.duration_since(request.arrived).min(request.wait);
         let left = request.wait.saturating_sub(waited).min(request.deadline.saturating_duration_since(now));
-        let reserve = Reserve {
+        let reserve = ReservationRequest {
             pool,
             request: request.id,
             priority: request.priority,
@@ -61,7 +61,7 @@
             prompt,
             first_ms: start_by.saturating_duration_since(now).as_millis() as u32,
             wait_ms: left.as_millis() as u32,
-            tried: request.tried.iter().filter_map(|&k| self.fleet.known(k)).collect(),
+            tried: request.tried.iter().filter_map(|&k| self.endpoints.known(k)).collect(),
         };
         self.requests.get_mut(key).asked = Some(Asked { owner, at: now, heard: false });
         self.deliver(now, owner, Message::Reserve(reserve), out);
@@ -175,9 +175,9 @@
         };
         let request = self.requests.get(key);
         let refusal = if request.may_have_run() {
-            Refusal::later(ErrorKind::EndpointFailed, ELSEWHERE)
+            Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE)
         } else if self.served(now, request) {
-            Refusal::later(ErrorKind::Overloaded, wait.max(ELSEWHERE))
+            Refusal::retryable(ErrorKind::Overloaded, wait.max(ELSEWHERE))
         } else {
             self.no_slot(now, request)
         };
@@ -196,9 +196,9 @@
             return self.hand_back(now, from, (pool, id), out);
         };
         // The owner may act on an older configuration than this instance has.
-        let usable = |e: Option<EndpointKey>| e.filter(|&k| !self.fleet.is_leaving(k));
+        let usable = |e: Option<EndpointKey>| e.filter(|&k| !self.endpoints.is_leaving(k));
         let (Some(prefill), Some(decode)) =
-            (usable(self.fleet.find(prefill)), usable(self.fleet.find(decode)))
+            (usable(self.endpoints.find(prefill)), usable(self.endpoints.find(decode)))
         else {
             self.unask(now, key, out);
             return self.fall_back(now, key, out);
@@ -251,7 +251,7 @@
         &mut self,
         now: Instant,
         from: InstanceId,
-        reserve: &Reserve,
+        reserve: &ReservationRequest,
         out: &mut Vec<Effect>,
     ) {
         let (pool, request) = (reserve.pool, reserve.request);
@@ -261,19 +261,21 @@
         };
         if let Some((prefill, decode)) = self.slots(pool).pair_of(request) {
             // The grant was lost on the way.
-            if let (Some(prefill), Some(decode)) = (self.fleet.known(prefill), self.fleet.known(decode)) {
+            if let (Some(prefill), Some(decode)) =
+                (self.endpoints.known(prefill), self.endpoints.known(decode))
+            {
                 self.deliver(now, from, Message::Reserved { pool, request, prefill, decode }, out);
             }
             return;
         }
         if !self.slots(pool).knows(request) {
-            let capacity = self.fleet.capacity(now, &name, Role::Decode);
+            let capacity = self.endpoints.capacity(now, &name, Role::Decode);
             let wait = self.slots(pool).expected_wait(reserve.priority, capacity);
             if wait > Duration::from_millis(u64::from(reserve.wait_ms)) {
                 let wait_ms = wait.as_millis() as u32;
                 return self.deliver(now, from, Message::Declined { request, wait_ms }, out);
             }
-            let ask = Ask::new(now, from, reserve, |id| self.fleet.find(id));
+            let ask = Ask::new(now, from, reserve, |id| self.endpoints.find(id));
             self.slots(pool).push(ask);
         }
         self.deliver(now, from, Message::Queued { request }, out);
@@ -301,7 +303,7 @@
             let ask = slots.take(key, |team| weight(&configuration.teams, team));
             slots.grant(now, &ask, prefill, decode);
             let (request, prefill, decode) =
-                (ask.request, self.fleet.get(prefill).id, self.fleet.get(decode).id);
+                (ask.request, self.endpoints.get(prefill).id, self.endpoints.get(decode).id);
             if ask.from == self.identity.id() {
                 // Taken in after the loop: it may change these very slots.
                 self.own_grants.push((request, prefill, decode));
@@ -328,12 +330,12 @@
         let domain = self.members.domain_of(ask.from);
         let mut need = Need { pool, role: Role::Decode, domain, tried: &ask.tried, percent };
         let used = |k| slots.used(k);
-        let pair = self.fleet.pair(now, &need, used, &mut self.rng);
+        let pair = self.endpoints.pair(now, &need, used, &mut self.rng);
         if pair.is_some() || need.tried.is_empty() {
             return pair;
         }
         need.tried = &[];
-        self.fleet.pair(now, &need, used, &mut self.rng)
+        self.endpoints.pair(now, &need, used, &mut self.rng)
     }
 
     pub(crate) fn freed(
@@ -370,8 +372,8 @@
     }
 
     /// Requests of a report that the owner of the pool does not account for.
-    pub(crate) fn foreign(&self, endpoint: EndpointKey, report: &Report) -> u32 {
-        let slots = self.slots.get(&PoolId::of(&self.fleet.get(endpoint).pool));
+    pub(crate) fn foreign(&self, endpoint: EndpointKey, report: &EngineLoad) -> u32 {
+        let slots = self.slots.get(&PoolId::of(&self.endpoints.get(endpoint).pool));
         let unknown = |r: &RequestId| slots.is_none_or(|s| !s.accounts_for(*r));
         report.running.iter().map(|r| r.attempt.request).filter(unknown).count() as u32
     }
@@ -392,6 +394,6 @@
         let alone = self.alone.get(pool).is_some_and(|&at| now.duration_since(at) < RESTART);
         let owned =
             self.members.owner(id) == self.identity.id() || self.slots.get(&id).is_some_and(Slots::busy);
-        self.fleet.placement() != Placement::Owner || alone || owned
+        self.endpoints.placement() != Placement::Owner || alone || owned
     }
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use crate::ids::EndpointKey;
-use crate::message::Reserve;
+use crate::message::ReservationRequest;
 use crate::queue::Queue;
 use crate::{EndpointId, InstanceId, RequestId};
 
@@ -92,7 +92,7 @@
     pub(crate) fn new(
         now: Instant,
         from: InstanceId,
-        reserve: &Reserve,
+        reserve: &ReservationRequest,
         find: impl Fn(EndpointId) -> Option<EndpointKey>,
     ) -> Self {
         Self {
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -9,7 +9,7 @@
 
 use teaselshunt_settings::Configuration;
 
-use crate::event::Offer;
+use crate::event::ConfigurationCandidate;
 
 /// What became of an offered version.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -50,10 +50,10 @@
     }
 
     /// Takes an offer in, and says what became of it. `None` if the same refusal was reported before.
-    pub(crate) fn offer(&mut self, offer: Offer) -> Option<Verdict> {
-        match offer {
-            Offer::Valid { configuration, text } => self.valid(configuration, text),
-            Offer::Invalid { version, mistakes } => self.refuse(version, mistakes),
+    pub(crate) fn offer(&mut self, candidate: ConfigurationCandidate) -> Option<Verdict> {
+        match candidate {
+            ConfigurationCandidate::Valid { configuration, text } => self.valid(configuration, text),
+            ConfigurationCandidate::Invalid { version, mistakes } => self.refuse(version, mistakes),
         }
     }
 
--- a/crates/core/tests/all/claims.rs
+++ b/crates/core/tests/all/claims.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use teaselshunt_core::{
-    Call, ClaimAnswer, Effect, ErrorKind, Event, Fate, Fingerprint, IdempotencyKey, InstanceId, Keyed,
-    Message, Refusal, RequestId, Ticket, Work,
+    Call, CallerKey, ClaimAnswer, ClaimOutcome, Effect, ErrorKind, Event, Fingerprint, IdempotencyKey,
+    InstanceId, Message, Refusal, RequestId, Ticket, Work,
 };
 
 use crate::support::{Alone, OTHER, heartbeat, heartbeat_at, pair};
@@ -20,7 +20,7 @@
 
     /// A caller books with the `number`th key, which tells when it was made.
     fn book_born(&mut self, number: u64, born: Option<u64>) -> Vec<Effect> {
-        let key = Keyed { key: key(number), born };
+        let key = CallerKey { key: key(number), born };
         let work = Work::Call(Call {
             service: "fees".to_owned(),
             method: "POST".to_owned(),
@@ -62,8 +62,8 @@
                 key,
                 revision,
                 record: None,
-                whole: true,
-                complete: true,
+                own_grants_known: true,
+                lists_known: true,
                 homes: Vec::new(),
             };
             answers(&alone.receive(reply)).contains(&(holder(1), ClaimAnswer::Granted))
@@ -106,9 +106,9 @@
 }
 
 /// What the other instance is told of a request's fate.
-fn settled(effects: &[Effect]) -> Option<Fate> {
+fn settled(effects: &[Effect]) -> Option<ClaimOutcome> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Send { message: Message::Settle { fate, .. }, .. } => Some(fate.clone()),
+        Effect::Send { message: Message::Settle { outcome, .. }, .. } => Some(outcome.clone()),
         _ => None,
     })
 }
@@ -127,7 +127,7 @@
     for _ in 0..3 {
         let answer = ClaimAnswer::Granted;
         let effects = alone.receive(Message::Claimed { key, request, answer });
-        assert_eq!(settled(&effects), Some(Fate::NotRun));
+        assert_eq!(settled(&effects), Some(ClaimOutcome::NotRun));
     }
 }
 
@@ -146,7 +146,8 @@
     alone.receive(heartbeat_at(3));
     let (key, revision) = (key(number), 3);
     let homes = Vec::new();
-    let reply = Message::Inquired { key, revision, record: None, whole: true, complete: true, homes };
+    let reply =
+        Message::Inquired { key, revision, record: None, own_grants_known: true, lists_known: true, homes };
     let told = answers(&alone.receive(reply));
     assert!(!told.contains(&(holder(1), ClaimAnswer::Granted)), "{told:?}");
 }
@@ -165,7 +166,7 @@
     });
     let attempt = attempt.expect("it is sent to a service");
     assert_eq!(settled(&alone.receive(granted())), None, "it still runs");
-    let ran = Some(Fate::Ran(None));
+    let ran = Some(ClaimOutcome::Ran(None));
     assert_eq!(settled(&alone.step(Event::Called { attempt, stored: None })), ran);
     assert_eq!(settled(&alone.receive(granted())), ran);
 }
@@ -185,7 +186,7 @@
     assert!(told.contains(&(holder(2), ClaimAnswer::Unknown)), "{told:?}");
     assert!(told.contains(&(holder(1), ClaimAnswer::Granted)), "the holder is asked: {told:?}");
     alone.receive(heartbeat());
-    let settle = Message::Settle { key: key(number), request: holder(1), fate: Fate::Ran(None) };
+    let settle = Message::Settle { key: key(number), request: holder(1), outcome: ClaimOutcome::Ran(None) };
     alone.receive(settle);
     let told = alone.claim(number, 3);
     assert_eq!(told, [(holder(3), ClaimAnswer::Ran(None))]);
@@ -238,5 +239,5 @@
     alone.claim_elsewhere();
     alone.pass(CLAIM);
     let silent = refusal(&alone.step(Event::Tick)).expect("its home is silent");
-    assert!(silent.kind == ErrorKind::KeyUnknown && silent.retry.is_some(), "{silent:?}");
+    assert!(silent.kind == ErrorKind::KeyUnknown && silent.retry_after.is_some(), "{silent:?}");
 }
--- a/crates/core/tests/all/crashes.rs
+++ b/crates/core/tests/all/crashes.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use teaselshunt_core::{
-    AttemptId, CrashReport, Effect, EndpointStart, ErrorKind, Event, Fault, Fingerprint, InstanceId, Message,
-    Report, Running, Target, Ticket,
+    AttemptId, CrashReport, Effect, EndpointIncarnation, EngineLoad, ErrorKind, Event, Fingerprint,
+    InstanceId, Message, Running, StepFailure, Target, Ticket,
 };
 
 use crate::support::{Alone, prefill};
@@ -30,7 +30,7 @@
 
 /// A prefill engine goes down under this try: its connections break, and it does not answer afterwards.
 fn crash(alone: &mut Alone, attempt: AttemptId) -> Vec<Effect> {
-    let mut effects = alone.step(Event::Failed { attempt, fault: Fault::Broken, offset: 0 });
+    let mut effects = alone.step(Event::Failed { attempt, failure: StepFailure::Broken, offset: 0 });
     let target = polled(&effects).expect("the engine is asked whether it lives");
     effects.extend(alone.step(Event::Unreported { endpoint: target.id }));
     effects
@@ -65,9 +65,9 @@
     for ticket in 1..6 {
         let mut next = prefill(&alone.ask(ticket, BAD));
         while let Some(attempt) = next {
-            let effects = alone.step(Event::Failed { attempt, fault: Fault::Broken, offset: 0 });
+            let effects = alone.step(Event::Failed { attempt, failure: StepFailure::Broken, offset: 0 });
             let target = polled(&effects).expect("the engine is asked whether it lives");
-            alone.step(Event::Reported { endpoint: target.id, report: Report::default() });
+            alone.step(Event::Reported { endpoint: target.id, report: EngineLoad::default() });
             next = prefill(&effects);
         }
         alone.pass(Duration::from_secs(3));
@@ -79,7 +79,7 @@
 #[test]
 fn what_others_saw_counts_here() {
     let mut alone = Alone::start();
-    let report = |number| CrashReport { request: BAD, endpoint: EndpointStart(number), age_ms: 100 };
+    let report = |number| CrashReport { request: BAD, endpoint: EndpointIncarnation(number), age_ms: 100 };
     let crashes = (1..=3).map(report).collect();
     let message = Message::Crashes { crashes, served: Vec::new() };
     alone.step(Event::Received { from: InstanceId::of("other"), message });
@@ -97,10 +97,10 @@
     let attempt = alone.arrive(1);
     alone.step(Event::Prefilled { attempt, bytes: 1, cached: 0 });
     alone.step(Event::Imported { attempt });
-    let effects = alone.step(Event::Failed { attempt, fault: Fault::Stalled, offset: 0 });
+    let effects = alone.step(Event::Failed { attempt, failure: StepFailure::Stalled, offset: 0 });
     let target = polled(&effects).expect("the engine is asked whether it lives");
     assert!(effects.iter().any(|e| matches!(e, Effect::Decode { resume: Some(r), .. } if *r == attempt)));
-    let report = Report { running: vec![Running { attempt }], ..Report::default() };
+    let report = EngineLoad { running: vec![Running { attempt }], ..EngineLoad::default() };
     let effects = alone.step(Event::Reported { endpoint: target.id, report });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Cancel { .. })), "{effects:?}");
 }
--- a/crates/core/tests/all/quarantine.rs
+++ b/crates/core/tests/all/quarantine.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use quickcheck::quickcheck;
-use teaselshunt_core::{Crash, CrashNews, EndpointStart, Fingerprint, Quarantine};
+use teaselshunt_core::{Crash, CrashUpdate, EndpointIncarnation, Fingerprint, Quarantine};
 
 const BAD: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
@@ -14,7 +14,7 @@
 const MEMORY: Duration = Duration::from_mins(10);
 
 fn crash(request: Fingerprint, endpoint: u32, at: Instant) -> Crash {
-    Crash { request, endpoint: EndpointStart(u64::from(endpoint)), at }
+    Crash { request, endpoint: EndpointIncarnation(u64::from(endpoint)), at }
 }
 
 fn before(now: Instant, seconds: u64) -> Instant {
@@ -26,17 +26,17 @@
     let mut quarantine = Quarantine::default();
     for endpoint in 1..=count {
         let at = before(now, u64::from(count - endpoint));
-        quarantine.crashed(at, crash(BAD, endpoint, at));
+        quarantine.observe_crash(at, crash(BAD, endpoint, at));
     }
     quarantine
 }
 
-fn hear(quarantine: &mut Quarantine, now: Instant, news: &CrashNews) {
+fn hear(quarantine: &mut Quarantine, now: Instant, news: &CrashUpdate) {
     for &request in &news.served {
-        quarantine.told_served(now, request);
+        quarantine.merge_success(now, request);
     }
     for &crash in &news.crashes {
-        quarantine.told(now, crash);
+        quarantine.merge_crash(now, crash);
     }
 }
 
@@ -49,8 +49,8 @@
     let now = Instant::now() + MEMORY;
     assert!(!is_in(&seen(2, now), now, BAD));
     let mut quarantine = seen(2, now);
-    assert!(!quarantine.crashed(now, crash(BAD, 2, now)), "the same start of an endpoint crashes once");
-    assert!(quarantine.crashed(now, crash(BAD, 3, now)));
+    assert!(!quarantine.observe_crash(now, crash(BAD, 2, now)), "the same start of an endpoint crashes once");
+    assert!(quarantine.observe_crash(now, crash(BAD, 3, now)));
     assert!(is_in(&quarantine, now, BAD));
     assert!(!is_in(&quarantine, now, OTHER));
 }
@@ -63,11 +63,11 @@
     let mut instances: Vec<Quarantine> = (1..=3)
         .map(|endpoint| {
             let mut quarantine = Quarantine::default();
-            quarantine.crashed(now, crash(BAD, endpoint, now));
+            quarantine.observe_crash(now, crash(BAD, endpoint, now));
             quarantine
         })
         .collect();
-    let tellings: Vec<CrashNews> = instances.iter().map(|i| i.news(now, false)).collect();
+    let tellings: Vec<CrashUpdate> = instances.iter().map(|i| i.update(now, false)).collect();
     for instance in &mut instances {
         for news in &tellings {
             hear(instance, now, news);
@@ -82,12 +82,12 @@
 fn a_crash_is_told_on_after_a_peer_has_told_another() {
     let now = Instant::now() + MEMORY;
     let mut quarantine = seen(1, now);
-    quarantine.told(now, crash(BAD, 9, now));
+    quarantine.merge_crash(now, crash(BAD, 9, now));
     let later = now + Duration::from_secs(1);
-    let told = quarantine.news(later, false).crashes;
-    assert!(told.iter().any(|c| c.endpoint == EndpointStart(1)), "{told:?}");
+    let told = quarantine.update(later, false).crashes;
+    assert!(told.iter().any(|c| c.endpoint == EndpointIncarnation(1)), "{told:?}");
     let over = now + Duration::from_secs(5);
-    assert!(quarantine.news(over, false).crashes.is_empty(), "everybody knows it by then");
+    assert!(quarantine.update(over, false).crashes.is_empty(), "everybody knows it by then");
 }
 
 /// An instance starts again while callers go on sending a request that is in quarantine. It is told at once, by any peer,
@@ -96,11 +96,11 @@
 fn an_instance_that_starts_is_told_what_is_in_quarantine() {
     let now = Instant::now() + MEMORY;
     let mut peer = Quarantine::default();
-    hear(&mut peer, now, &seen(3, now).news(now, false));
+    hear(&mut peer, now, &seen(3, now).update(now, false));
     let later = now + Duration::from_mins(2);
-    assert!(peer.news(later, false).crashes.is_empty(), "nothing is new");
+    assert!(peer.update(later, false).crashes.is_empty(), "nothing is new");
     let mut fresh = Quarantine::default();
-    hear(&mut fresh, later, &peer.news(later, true));
+    hear(&mut fresh, later, &peer.update(later, true));
     assert!(is_in(&fresh, later, BAD));
 }
 
@@ -110,16 +110,16 @@
 fn a_request_that_is_answered_is_innocent() {
     let now = Instant::now() + MEMORY;
     let mut quarantine = Quarantine::default();
-    quarantine.served(before(now, 20), BAD);
+    quarantine.observe_success(before(now, 20), BAD);
     for endpoint in 1..=9 {
-        quarantine.crashed(now, crash(BAD, endpoint, now));
+        quarantine.observe_crash(now, crash(BAD, endpoint, now));
     }
     assert!(!is_in(&quarantine, now, BAD), "it was answered before");
     let mut quarantine = seen(3, now);
-    quarantine.served(now, BAD);
+    quarantine.observe_success(now, BAD);
     assert!(!is_in(&quarantine, now, BAD), "it is answered after");
     let mut peer = seen(3, now);
-    hear(&mut peer, now, &quarantine.news(now, false));
+    hear(&mut peer, now, &quarantine.update(now, false));
     assert!(!is_in(&peer, now, BAD), "it is answered elsewhere");
 }
 
@@ -132,13 +132,13 @@
     for endpoint in 1..=3 {
         let first = if endpoint % 2 == 0 { [OTHER, BAD] } else { [BAD, OTHER] };
         for request in first {
-            quarantine.crashed(now, crash(request, endpoint, now));
+            quarantine.observe_crash(now, crash(request, endpoint, now));
         }
     }
     assert!(is_in(&quarantine, now, BAD));
     assert!(!is_in(&quarantine, now, OTHER));
-    quarantine.crashed(now, crash(OTHER, 4, now));
-    quarantine.crashed(now, crash(OTHER, 5, now));
+    quarantine.observe_crash(now, crash(OTHER, 4, now));
+    quarantine.observe_crash(now, crash(OTHER, 5, now));
     assert!(!is_in(&quarantine, now, OTHER), "two crashes are its own");
 }
 
@@ -153,7 +153,7 @@
     assert_eq!(end, start + MEMORY, "no more than three in this time");
     quarantine.expire(end);
     assert!(!is_in(&quarantine, end, BAD));
-    quarantine.crashed(end, crash(BAD, 4, end));
+    quarantine.observe_crash(end, crash(BAD, 4, end));
     assert!(is_in(&quarantine, end, BAD));
 }
 
@@ -164,14 +164,14 @@
     let now = Instant::now() + MEMORY;
     let mut quarantine = Quarantine::default();
     for request in 0..6_000 {
-        quarantine.crashed(now, crash(Fingerprint(1_000 + request), request as u32 % 300, now));
-        quarantine.served(now, Fingerprint(100_000 + request));
+        quarantine.observe_crash(now, crash(Fingerprint(1_000 + request), request as u32 % 300, now));
+        quarantine.observe_success(now, Fingerprint(100_000 + request));
     }
     for endpoint in 1_000..1_003 {
-        quarantine.crashed(now, crash(BAD, endpoint, now));
+        quarantine.observe_crash(now, crash(BAD, endpoint, now));
     }
     assert!(is_in(&quarantine, now, BAD));
-    let news = quarantine.news(now, true);
+    let news = quarantine.update(now, true);
     assert!(news.crashes.len() <= 64 && news.served.len() <= 64);
 }
 
@@ -187,10 +187,10 @@
             let index = usize::from(request % 4);
             let fingerprint = Fingerprint(index as u64);
             if answered {
-                quarantine.served(at, fingerprint);
+                quarantine.observe_success(at, fingerprint);
                 present[index] = 0;
             } else {
-                quarantine.crashed(at, crash(fingerprint, u32::from(endpoint % 16), at));
+                quarantine.observe_crash(at, crash(fingerprint, u32::from(endpoint % 16), at));
                 present[index] += 1;
             }
             let accused = |i: usize| is_in(&quarantine, at, Fingerprint(i as u64));
--- a/crates/core/tests/all/steps.rs
+++ b/crates/core/tests/all/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselshunt_core::{Effect, EndpointId, ErrorKind, Event, Fault, Outcome, Ticket};
+use teaselshunt_core::{Effect, EndpointId, ErrorKind, Event, Outcome, StepFailure, Ticket};
 use teaselshunt_settings::EndpointState;
 
 use crate::support::{Alone, import, prefill};
@@ -13,7 +13,7 @@
 fn a_late_answer_of_an_earlier_try_changes_nothing() {
     let mut alone = Alone::start();
     let first = alone.arrive(1);
-    let effects = alone.step(Event::Failed { attempt: first, fault: Fault::TimedOut, offset: 0 });
+    let effects = alone.step(Event::Failed { attempt: first, failure: StepFailure::TimedOut, offset: 0 });
     let second = prefill(&effects).expect("it is tried elsewhere");
     assert!(effects.iter().any(|e| matches!(e, Effect::Cancel { attempt, .. } if *attempt == first)));
 
@@ -52,7 +52,7 @@
     let mut alone = Alone::start();
     let mut attempt = alone.arrive(1);
     loop {
-        let effects = alone.step(Event::Failed { attempt, fault: Fault::NotSent, offset: 0 });
+        let effects = alone.step(Event::Failed { attempt, failure: StepFailure::NotSent, offset: 0 });
         if let Some(next) = prefill(&effects) {
             attempt = next;
             continue;
@@ -65,7 +65,7 @@
         assert_eq!(ticket, Ticket(1));
         assert_eq!(refusal.kind, ErrorKind::NoEndpoint);
         assert_eq!(refusal.kind.answer().outcome, Outcome::NotRun);
-        assert!(refusal.retry.is_some());
+        assert!(refusal.retry_after.is_some());
         return;
     }
 }
@@ -75,10 +75,10 @@
 fn one_try_that_may_have_run_is_not_forgotten() {
     let mut alone = Alone::start();
     let mut attempt = alone.arrive(1);
-    let mut fault = Fault::TimedOut;
+    let mut failure = StepFailure::TimedOut;
     loop {
-        let effects = alone.step(Event::Failed { attempt, fault, offset: 0 });
-        fault = Fault::NotSent;
+        let effects = alone.step(Event::Failed { attempt, failure, offset: 0 });
+        failure = StepFailure::NotSent;
         if let Some(next) = prefill(&effects) {
             attempt = next;
             continue;
--- a/crates/core/tests/all/support.rs
+++ b/crates/core/tests/all/support.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use teaselshunt_core::{
-    AttemptId, Effect, EndpointId, Entry, Event, Fingerprint, Generate, Heartbeat, Identity, Instance,
-    InstanceId, Listed, Message, Offer, Report, Source, Ticket, Work,
+    AttemptId, ConfigurationCandidate, Effect, EndpointId, EngineLoad, Event, Fingerprint, Generate,
+    Heartbeat, Identity, Instance, InstanceEntry, InstanceId, InstanceList, Message, Source, Ticket, Work,
 };
 use teaselshunt_settings::{Configuration, parse_configuration};
 
@@ -33,7 +33,7 @@
     }
 
     /// An instance whose first list has these.
-    fn started_with(instances: Vec<Entry>) -> Self {
+    fn started_with(instances: Vec<InstanceEntry>) -> Self {
         let now = Instant::now();
         let identity = Identity {
             name: "osborne-1".to_owned(),
@@ -44,12 +44,12 @@
         };
         let configuration = parse_configuration(CONFIGURATION).expect("the example checks");
         let mut alone = Self { instance: Instance::new(now, identity, 1), started: now, now, configuration };
-        let list = Listed { revision: 1, instances };
-        alone.step(Event::Listed { list, source: Source::Platform, asked: now });
+        let list = InstanceList { revision: 1, instances };
+        alone.step(Event::ListRead { list, source: Source::Platform, read_started: now });
         alone.offer();
         for endpoint in alone.configuration.endpoints.clone() {
             let event =
-                Event::Reported { endpoint: EndpointId::of(&endpoint.name), report: Report::default() };
+                Event::Reported { endpoint: EndpointId::of(&endpoint.name), report: EngineLoad::default() };
             alone.step(event);
         }
         alone
@@ -69,8 +69,8 @@
     /// A list with the instances of a [`pair`] comes into use.
     pub(crate) fn relist(&mut self, revision: u64) {
         let instances = vec![entry("osborne-1", "osborne", 1), entry(OTHER, "malaga", 2)];
-        let list = Listed { revision, instances };
-        self.step(Event::Listed { list, source: Source::Platform, asked: self.now });
+        let list = InstanceList { revision, instances };
+        self.step(Event::ListRead { list, source: Source::Platform, read_started: self.now });
     }
 
     /// Milliseconds since the Unix epoch.
@@ -93,8 +93,8 @@
 
     fn offer(&mut self) -> Vec<Effect> {
         let configuration = Arc::new(self.configuration.clone());
-        let offer = Offer::Valid { configuration, text: Arc::from("") };
-        self.step(Event::Offered { offer, source: Source::Platform })
+        let candidate = ConfigurationCandidate::Valid { configuration, text: Arc::from("") };
+        self.step(Event::ConfigurationRead { candidate, source: Source::Platform })
     }
 
     /// Puts a changed configuration in force.
@@ -114,9 +114,9 @@
         let work = Work::Generate(Generate {
             model: "fee-writer-invoice".to_owned(),
             team: String::new(),
-            prompt: 1000,
-            limit: 100,
-            again: false,
+            prompt_tokens: 1000,
+            max_tokens: 100,
+            retry: false,
             key: None,
             fingerprint,
             deadline: Duration::from_mins(1),
@@ -136,8 +136,8 @@
     alone
 }
 
-fn entry(name: &str, domain: &str, port: u16) -> Entry {
-    Entry {
+fn entry(name: &str, domain: &str, port: u16) -> InstanceEntry {
+    InstanceEntry {
         name: name.to_owned(),
         domain: domain.to_owned(),
         peers: ([127, 0, 0, 1], port).into(),
@@ -152,7 +152,7 @@
 
 /// The other instance's, by a list.
 pub(crate) fn heartbeat_at(revision: u64) -> Message {
-    let rumours = Vec::new();
+    let updates = Vec::new();
     let (stamp, incarnation, epoch) = (0, 1, 0);
     Message::Heartbeat(Heartbeat {
         stamp,
@@ -162,7 +162,7 @@
         revision,
         listed_ms: 0,
         stopping: false,
-        rumours,
+        updates,
     })
 }
 
--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -5,7 +5,7 @@
 use poem::http::{HeaderName, StatusCode, header};
 use poem::{Body, Response};
 use serde::Serialize;
-use teaselshunt_core::{ErrorKind, Outcome, Refusal, RequestId, Stored};
+use teaselshunt_core::{ErrorKind, Outcome, Refusal, RequestId, StoredResponse};
 
 /// Id of the request, on every answer to a request that was taken.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -59,7 +59,7 @@
         };
         let error = ErrorDetail {
             message,
-            r#type: answer.family,
+            r#type: answer.error_type,
             param: None,
             code: answer.code,
             outcome: answer.outcome.text(),
@@ -70,14 +70,14 @@
     pub(crate) fn into_response(self) -> Response {
         let answer = self.refusal.kind.answer();
         // Sending again is only right where nothing ran and coming back can help.
-        let again = answer.outcome == Outcome::NotRun && self.refusal.retry.is_some();
+        let again = answer.outcome == Outcome::NotRun && self.refusal.retry_after.is_some();
         let status = StatusCode::from_u16(answer.status).expect("the table holds valid statuses");
         let mut response = Response::builder()
             .status(status)
             .content_type("application/json")
             .header(OUTCOME, answer.outcome.text())
             .header(SHOULD_RETRY, if again { "true" } else { "false" });
-        if let Some(retry) = self.refusal.retry {
+        if let Some(retry) = self.refusal.retry_after {
             response = response
                 .header(header::RETRY_AFTER, whole_seconds(retry).to_string())
                 .header(RETRY_AFTER_MS, retry.as_millis().to_string());
@@ -99,10 +99,10 @@
 }
 
 /// A kept answer.
-pub(crate) fn replayed(stored: Stored, request: Option<RequestId>) -> Response {
+pub(crate) fn replayed(stored: StoredResponse, request: Option<RequestId>) -> Response {
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let mut response =
-        Response::builder().status(status).content_type(&stored.content).header(REPLAYED, "true");
+        Response::builder().status(status).content_type(&stored.content_type).header(REPLAYED, "true");
     if let Some(request) = request {
         response = response.header(REQUEST_ID, request.to_string());
     }
--- a/crates/daemon/src/callers/front.rs
+++ b/crates/daemon/src/callers/front.rs
@@ -42,7 +42,7 @@
     /// A place among the requests in progress.
     pub(crate) fn place(&self) -> Result<OwnedSemaphorePermit, Rejection> {
         let place = Arc::clone(&self.places).try_acquire_owned();
-        place.map_err(|_| Rejection::of(Refusal::later(ErrorKind::Overloaded, FULL), None))
+        place.map_err(|_| Rejection::of(Refusal::retryable(ErrorKind::Overloaded, FULL), None))
     }
 
     pub(crate) fn deadline(&self) -> Duration {
--- a/crates/daemon/src/callers/headers.rs
+++ b/crates/daemon/src/callers/headers.rs
@@ -5,7 +5,7 @@
 use poem::Request;
 use poem::http::header::AUTHORIZATION;
 use poem::http::{HeaderMap, HeaderValue};
-use teaselshunt_core::{Directory, ErrorKind, IdempotencyKey, Keyed, Refusal};
+use teaselshunt_core::{CallerKey, ErrorKind, IdempotencyKey, Refusal, TeamDirectory};
 use teaselshunt_teams::{ApiKey, Teams};
 use uuid::Uuid;
 
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Terms {
     pub(crate) team: String,
-    pub(crate) key: Option<Keyed>,
+    pub(crate) key: Option<CallerKey>,
     pub(crate) deadline: Duration,
     /// Whether the caller was refused before and comes back.
     pub(crate) again: bool,
@@ -53,11 +53,11 @@
     pub(crate) fn read(
         request: &Request,
         default: Duration,
-        directory: Option<&Directory>,
+        directory: Option<&TeamDirectory>,
         service: Option<&str>,
     ) -> Result<Self, Rejection> {
         let headers = request.headers();
-        let is_public = |d: &Directory| service.is_some_and(|name| d.public.contains(name));
+        let is_public = |d: &TeamDirectory| service.is_some_and(|name| d.public.contains(name));
         let team = match directory {
             None => text(headers, TEAM)?.unwrap_or_default().to_owned(),
             Some(directory) => match holder(headers, &directory.teams) {
@@ -70,7 +70,7 @@
             Some(key) if key.is_empty() || key.len() > KEY_MAX => {
                 return Err(invalid(IDEMPOTENCY, &format!("1 to {KEY_MAX} characters are allowed")));
             }
-            Some(key) => Some(Keyed { key: IdempotencyKey::of(&team, key), born: born(key) }),
+            Some(key) => Some(CallerKey { key: IdempotencyKey::of(&team, key), born: born(key) }),
             None => None,
         };
         let deadline = match text(headers, DEADLINE)? {
--- a/crates/daemon/src/callers/openai.rs
+++ b/crates/daemon/src/callers/openai.rs
@@ -7,7 +7,7 @@
 use poem::web::Data;
 use poem::{Body, Request, Response, handler};
 use serde::{Deserialize, Serialize};
-use teaselshunt_core::{ErrorKind, Fingerprint, Generate, RequestId, Stored, Work};
+use teaselshunt_core::{ErrorKind, Fingerprint, Generate, RequestId, StoredResponse, Work};
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
 
 use super::answer::{REQUEST_ID, Rejection, replayed};
@@ -224,9 +224,9 @@
     let work = Generate {
         model: asked.model.clone(),
         team: terms.team,
-        prompt: asked.prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
-        limit: asked.limit,
-        again: terms.again,
+        prompt_tokens: asked.prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
+        max_tokens: asked.limit,
+        retry: terms.again,
         key: terms.key,
         fingerprint,
         deadline: terms.deadline,
@@ -462,7 +462,7 @@
             } else {
                 ("application/json", self.whole("", text, finish))
             };
-            Stored { status: 200, content: content.to_owned(), body }
+            StoredResponse { status: 200, content_type: content.to_owned(), body }
         })
     }
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -8,8 +8,8 @@
 
 use slog::{Logger, crit};
 use teaselshunt_core::{
-    AttemptId, Clock, Directory, Effect, Event, Identity, Instance, InstanceId, Message, Refusal, RequestId,
-    Snapshot, Stored, Target, Ticket, Work,
+    AttemptId, Clock, Effect, Event, Identity, Instance, InstanceId, InstanceView, Message, Refusal,
+    RequestId, StoredResponse, Target, TeamDirectory, Ticket, Work,
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -49,7 +49,7 @@
         issued: Instant,
     },
     Refuse(Refusal),
-    Replay(Stored),
+    Replay(StoredResponse),
 }
 
 /// What the core wants of the rest of the process.
@@ -64,7 +64,7 @@
 enum Input {
     Open { ticket: Ticket, work: Work, commands: mpsc::UnboundedSender<Command> },
     Event(Event),
-    Snapshot(oneshot::Sender<Snapshot>),
+    Snapshot(oneshot::Sender<InstanceView>),
     Models(oneshot::Sender<Vec<String>>),
 }
 
@@ -75,16 +75,16 @@
     pub(crate) version: AtomicU64,
     /// List revision in use.
     pub(crate) revision: AtomicU64,
-    directory: RwLock<Option<Arc<Directory>>>,
+    directory: RwLock<Option<Arc<TeamDirectory>>>,
 }
 
 impl Published {
     /// Who holds which key; `None` where callers name their team themselves.
-    pub(crate) fn directory(&self) -> Option<Arc<Directory>> {
+    pub(crate) fn directory(&self) -> Option<Arc<TeamDirectory>> {
         self.directory.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn set_directory(&self, directory: Option<Directory>) {
+    fn set_directory(&self, directory: Option<TeamDirectory>) {
         *self.directory.write().unwrap_or_else(PoisonError::into_inner) = directory.map(Arc::new);
     }
 }
@@ -121,7 +121,7 @@
         Session { ticket, commands, control: self.clone(), closed: false }
     }
 
-    pub(crate) async fn snapshot(&self) -> Option<Snapshot> {
+    pub(crate) async fn snapshot(&self) -> Option<InstanceView> {
         let (sender, receiver) = oneshot::channel();
         let _ = self.inputs.send(Input::Snapshot(sender));
         receiver.await.ok()
@@ -253,7 +253,7 @@
             }
             Input::Event(event) => self.step(event),
             Input::Snapshot(sender) => {
-                let _ = sender.send(self.instance.snapshot(self.clock.now()));
+                let _ = sender.send(self.instance.view(self.clock.now()));
             }
             Input::Models(sender) => {
                 let _ = sender.send(self.instance.models());
@@ -289,8 +289,11 @@
             Effect::Import { ticket, attempt, origin, target, timeout } => {
                 self.command(ticket, Command::Import { attempt, origin, target, timeout });
             }
-            Effect::Decode { ticket, attempt, target, resume, priority, stall } => {
-                self.command(ticket, Command::Decode { attempt, target, resume, priority, stall });
+            Effect::Decode { ticket, attempt, target, resume, priority, stall_timeout } => {
+                self.command(
+                    ticket,
+                    Command::Decode { attempt, target, resume, priority, stall: stall_timeout },
+                );
             }
             Effect::Call { ticket, attempt, target, timeout } => {
                 let issued = self.clock.now();
@@ -321,7 +324,7 @@
         match audit {
             teaselshunt_core::Audit::Accepted { version, .. } => {
                 // Keys first: whoever sees the version must not meet the keys of the one before.
-                self.published.set_directory(self.instance.directory());
+                self.published.set_directory(self.instance.team_directory());
                 self.published.version.store(*version, Ordering::Release);
             }
             teaselshunt_core::Audit::List { revision, .. } => {
--- a/crates/daemon/src/driver/call.rs
+++ b/crates/daemon/src/driver/call.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use reqwest::header::HeaderMap;
 use reqwest::{Method, Response, StatusCode};
-use teaselshunt_core::{AttemptId, Event, Fault, Refusal, RequestId, Stored, Target};
+use teaselshunt_core::{AttemptId, Event, Refusal, RequestId, StepFailure, StoredResponse, Target};
 use tokio::sync::oneshot;
 
 use crate::control::{Command, Session};
@@ -37,7 +37,7 @@
 pub(crate) enum CallOutput {
     Answered { request: Option<RequestId>, status: StatusCode, headers: HeaderMap, body: Bytes },
     Refused { request: Option<RequestId>, refusal: Refusal },
-    Replayed { request: Option<RequestId>, stored: Stored },
+    Replayed { request: Option<RequestId>, stored: StoredResponse },
 }
 
 /// Starts the driver of a call.
@@ -118,7 +118,7 @@
                 Some(CallOutput::Answered { request: self.request, status, headers, body })
             }
             Err(fault) => {
-                self.session.send(Event::Failed { attempt, fault, offset: 0 });
+                self.session.send(Event::Failed { attempt, failure: fault, offset: 0 });
                 None
             }
         }
@@ -130,7 +130,7 @@
         target: Target,
         timeout: Duration,
         issued: Instant,
-    ) -> Result<(StatusCode, HeaderMap, Bytes), Fault> {
+    ) -> Result<(StatusCode, HeaderMap, Bytes), StepFailure> {
         let url = format!("http://{}/{}", target.address, self.plan.path);
         let call = self
             .engines
@@ -140,7 +140,7 @@
             .body(self.plan.body.clone())
             .timeout(timeout);
         if self.session.now().duration_since(issued) > STALE {
-            return Err(Fault::NotSent);
+            return Err(StepFailure::NotSent);
         }
         let response = dispatch(call).await?;
         let (status, headers) = (response.status(), response.headers().clone());
@@ -149,23 +149,23 @@
     }
 }
 
-async fn read_whole(mut response: Response) -> Result<Bytes, Fault> {
+async fn read_whole(mut response: Response) -> Result<Bytes, StepFailure> {
     let mut body = Vec::new();
     loop {
         match response.chunk().await {
             Ok(Some(chunk)) if body.len() + chunk.len() <= ANSWER_MAX => body.extend_from_slice(&chunk),
             Ok(None) => return Ok(Bytes::from(body)),
-            Err(error) if error.is_timeout() => return Err(Fault::TimedOut),
-            Ok(Some(_)) | Err(_) => return Err(Fault::Broken),
+            Err(error) if error.is_timeout() => return Err(StepFailure::TimedOut),
+            Ok(Some(_)) | Err(_) => return Err(StepFailure::Broken),
         }
     }
 }
 
-fn keep(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Option<Stored> {
-    if body.len() > Stored::MAX {
+fn keep(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Option<StoredResponse> {
+    if body.len() > StoredResponse::MAX_BODY_BYTES {
         return None;
     }
     let content = headers.get(reqwest::header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
     let content = content.unwrap_or("application/octet-stream").to_owned();
-    Some(Stored { status: status.as_u16(), content, body: body.to_vec() })
+    Some(StoredResponse { status: status.as_u16(), content_type: content, body: body.to_vec() })
 }
--- a/crates/daemon/src/driver/generate.rs
+++ b/crates/daemon/src/driver/generate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselshunt_core::{AttemptId, Event, Fault, Refusal, RequestId, Stored, Target};
+use teaselshunt_core::{AttemptId, Event, Refusal, RequestId, StepFailure, StoredResponse, Target};
 use teaselshunt_wire::engine::{DecodeRequest, ImportRequest, PrefillRequest, TokenEvent};
 use tokio::sync::mpsc;
 
@@ -16,7 +16,7 @@
 const REPORT_EVERY: u32 = 64;
 
 /// Renders a whole answer from its text and finish reason.
-pub(crate) type Render = Box<dyn Fn(&str, &str) -> Stored + Send + Sync>;
+pub(crate) type Render = Box<dyn Fn(&str, &str) -> StoredResponse + Send + Sync>;
 
 /// A generation as the caller asked for it.
 pub(crate) struct Generation {
@@ -40,21 +40,21 @@
     Accepted(RequestId),
     Tokens(Vec<Token>),
     Refused(Refusal),
-    Replayed(Stored),
+    Replayed(StoredResponse),
 }
 
 /// Why a driver stops short.
 enum Halt {
     /// A step failed; the core decides what next.
-    Fault(Fault),
+    Fault(StepFailure),
     /// The caller is gone.
     Gone,
     /// The core wants something else.
     Command(Box<Command>),
 }
 
-impl From<Fault> for Halt {
-    fn from(fault: Fault) -> Self {
+impl From<StepFailure> for Halt {
+    fn from(fault: StepFailure) -> Self {
         Self::Fault(fault)
     }
 }
@@ -158,7 +158,7 @@
         match result {
             Ok(event) => self.session.send(event),
             Err(Halt::Fault(fault)) => {
-                self.session.send(Event::Failed { attempt, fault, offset: self.offset });
+                self.session.send(Event::Failed { attempt, failure: fault, offset: self.offset });
             }
             Err(halt) => return Err(halt),
         }
@@ -220,9 +220,9 @@
         let mut batch = Vec::new();
         let mut reported = None;
         loop {
-            let read = timely(stall, async { response.chunk().await.map_err(|_| Fault::Broken) });
+            let read = timely(stall, async { response.chunk().await.map_err(|_| StepFailure::Broken) });
             // The end of the stream before the last token is a break: nothing short may pass for whole.
-            let bytes = race(&mut self.session, &self.output, read).await?.ok_or(Fault::Broken)?;
+            let bytes = race(&mut self.session, &self.output, read).await?.ok_or(StepFailure::Broken)?;
             events.push(&bytes, &mut batch)?;
             let finish = self.forward(&mut batch).await?;
             if let Some(finish) = finish {
@@ -247,7 +247,7 @@
             }
             if event.offset > self.offset {
                 // A hole would be an answer that is not whole.
-                return Err(Fault::Broken.into());
+                return Err(StepFailure::Broken.into());
             }
             self.offset += 1;
             self.generated.push_str(&event.text);
@@ -260,10 +260,10 @@
         Ok(finish)
     }
 
-    fn stored(&self, finish: &str) -> Option<Stored> {
+    fn stored(&self, finish: &str) -> Option<StoredResponse> {
         let render = self.generation.render.as_ref()?;
         let stored = render(&self.generated, finish);
-        (stored.body.len() <= Stored::MAX).then_some(stored)
+        (stored.body.len() <= StoredResponse::MAX_BODY_BYTES).then_some(stored)
     }
 }
 
@@ -271,7 +271,7 @@
 async fn race<T>(
     session: &mut Session,
     output: &mpsc::Sender<Output>,
-    step: impl Future<Output = Result<T, Fault>>,
+    step: impl Future<Output = Result<T, StepFailure>>,
 ) -> Result<T, Halt> {
     tokio::select! {
         result = step => Ok(result?),
@@ -281,6 +281,9 @@
 }
 
 /// A step without progress for too long has stalled.
-async fn timely<T>(stall: Duration, step: impl Future<Output = Result<T, Fault>>) -> Result<T, Fault> {
-    tokio::time::timeout(stall, step).await.unwrap_or(Err(Fault::Stalled))
+async fn timely<T>(
+    stall: Duration,
+    step: impl Future<Output = Result<T, StepFailure>>,
+) -> Result<T, StepFailure> {
+    tokio::time::timeout(stall, step).await.unwrap_or(Err(StepFailure::Stalled))
 }
--- a/crates/daemon/src/engines.rs
+++ b/crates/daemon/src/engines.rs
@@ -6,7 +6,7 @@
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use teaselshunt_core::{AttemptId, Fault, Report, Running};
+use teaselshunt_core::{AttemptId, EngineLoad, Running, StepFailure};
 use teaselshunt_wire::engine::{
     self, CancelRequest, CancelResponse, DecodeRequest, EngineError, EngineFault, ImportRequest,
     ImportResponse, LoadReport, PrefillRequest, PrefillResponse,
@@ -52,7 +52,7 @@
         address: SocketAddr,
         request: &PrefillRequest,
         timeout: Duration,
-    ) -> Result<PrefillResponse, Fault> {
+    ) -> Result<PrefillResponse, StepFailure> {
         let call = self.post(address, engine::PREFILL, request).timeout(timeout);
         read_json(send(call).await?).await
     }
@@ -62,7 +62,7 @@
         address: SocketAddr,
         request: &ImportRequest,
         timeout: Duration,
-    ) -> Result<ImportResponse, Fault> {
+    ) -> Result<ImportResponse, StepFailure> {
         let call = self.post(address, engine::IMPORT, request).timeout(timeout);
         read_json(send(call).await?).await
     }
@@ -72,7 +72,7 @@
         &self,
         address: SocketAddr,
         request: &DecodeRequest,
-    ) -> Result<Response, Fault> {
+    ) -> Result<Response, StepFailure> {
         send(self.post(address, engine::DECODE, request)).await
     }
 
@@ -86,13 +86,13 @@
         read_json::<CancelResponse>(response).await.is_ok()
     }
 
-    pub(crate) async fn load(&self, address: SocketAddr) -> Option<Report> {
+    pub(crate) async fn load(&self, address: SocketAddr) -> Option<EngineLoad> {
         let call = self.client.get(url(address, engine::LOAD)).timeout(SHORT);
         let report: LoadReport = read_json(send(call).await.ok()?).await.ok()?;
         // Work that is not of this system has other ids; it counts as load but cannot be owned.
         let ids = report.running.iter().filter_map(|r| r.request_id.parse().ok());
         let running: Vec<Running> = ids.map(|attempt| Running { attempt }).collect();
-        Some(Report { running, waiting: report.waiting, leaving: report.leaving })
+        Some(EngineLoad { running, waiting: report.waiting, leaving: report.leaving })
     }
 
     fn post(&self, address: SocketAddr, path: &str, body: &impl Serialize) -> RequestBuilder {
@@ -105,17 +105,17 @@
 }
 
 /// Sends a call, and tells a failure that proves that nothing left this process from one that does not.
-pub(crate) async fn dispatch(call: RequestBuilder) -> Result<Response, Fault> {
+pub(crate) async fn dispatch(call: RequestBuilder) -> Result<Response, StepFailure> {
     match call.send().await {
         Ok(response) => Ok(response),
-        Err(error) if error.is_connect() => Err(Fault::NotSent),
-        Err(error) if error.is_timeout() => Err(Fault::TimedOut),
-        Err(_) => Err(Fault::Broken),
+        Err(error) if error.is_connect() => Err(StepFailure::NotSent),
+        Err(error) if error.is_timeout() => Err(StepFailure::TimedOut),
+        Err(_) => Err(StepFailure::Broken),
     }
 }
 
 /// Sends a step to an engine; an answer that is no success is a fault.
-async fn send(call: RequestBuilder) -> Result<Response, Fault> {
+async fn send(call: RequestBuilder) -> Result<Response, StepFailure> {
     let response = dispatch(call).await?;
     if response.status().is_success() {
         return Ok(response);
@@ -124,24 +124,24 @@
 }
 
 /// Only the engine's own words prove that it did not begin; a bare status may come from anything between.
-async fn fault(response: Response) -> Fault {
+async fn fault(response: Response) -> StepFailure {
     let status = response.status();
     let Ok(EngineError { error }) = read_json(response).await else {
-        return Fault::Broken;
+        return StepFailure::Broken;
     };
     match (status, error) {
-        (StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy) => Fault::Busy,
-        (StatusCode::SERVICE_UNAVAILABLE, EngineFault::Leaving) => Fault::Leaving,
-        (_, EngineFault::Evicted) => Fault::Evicted,
-        (_, EngineFault::Rejected) => Fault::Rejected,
-        _ => Fault::Broken,
+        (StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy) => StepFailure::Busy,
+        (StatusCode::SERVICE_UNAVAILABLE, EngineFault::Leaving) => StepFailure::Leaving,
+        (_, EngineFault::Evicted) => StepFailure::Evicted,
+        (_, EngineFault::Rejected) => StepFailure::Rejected,
+        _ => StepFailure::Broken,
     }
 }
 
-async fn read_json<T: DeserializeOwned>(response: Response) -> Result<T, Fault> {
+async fn read_json<T: DeserializeOwned>(response: Response) -> Result<T, StepFailure> {
     match response.json().await {
         Ok(value) => Ok(value),
-        Err(error) if error.is_timeout() => Err(Fault::TimedOut),
-        Err(_) => Err(Fault::Broken),
+        Err(error) if error.is_timeout() => Err(StepFailure::TimedOut),
+        Err(_) => Err(StepFailure::Broken),
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -6,7 +6,7 @@
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
 };
-use teaselshunt_core::Snapshot;
+use teaselshunt_core::InstanceView;
 
 /// Upper bounds of the buckets, in seconds; they hold the targets of 68 ms and 1.1 s.
 const FIRST_BUCKETS: [f64; 10] = [0.05, 0.1, 0.2, 0.4, 0.7, 1.1, 2.0, 4.0, 8.0, 16.0];
@@ -109,14 +109,14 @@
     }
 
     /// The metrics as text, with the counts of a snapshot.
-    pub(crate) fn render(&self, snapshot: &Snapshot) -> Result<Vec<u8>, prometheus::Error> {
+    pub(crate) fn render(&self, snapshot: &InstanceView) -> Result<Vec<u8>, prometheus::Error> {
         self.take(snapshot);
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 
-    fn take(&self, snapshot: &Snapshot) {
+    fn take(&self, snapshot: &InstanceView) {
         let counts = &snapshot.counters;
         set(&self.arrived, counts.arrived);
         set(&self.abandoned, counts.abandoned);
@@ -131,8 +131,8 @@
             let labels = [class.as_str(), site.as_str()];
             set(&self.answered.with_label_values(&labels), count.answered);
             set(&self.good.with_label_values(&labels), count.good);
-            set(&self.prefilled.with_label_values(&labels), count.prefilled);
-            set(&self.wasted.with_label_values(&labels), count.wasted);
+            set(&self.prefilled.with_label_values(&labels), count.prefilled_tokens);
+            set(&self.wasted.with_label_values(&labels), count.wasted_tokens);
         }
         self.version.set(snapshot.version as i64);
         self.revision.set(snapshot.revision as i64);
@@ -144,7 +144,7 @@
     }
 
     /// Teams by their name; operators configure them, so that there are no more than that.
-    fn take_teams(&self, snapshot: &Snapshot) {
+    fn take_teams(&self, snapshot: &InstanceView) {
         self.admitted.reset();
         self.level.reset();
         for team in &snapshot.teams {
@@ -153,7 +153,7 @@
         }
     }
 
-    fn take_groups(&self, snapshot: &Snapshot) {
+    fn take_groups(&self, snapshot: &InstanceView) {
         for (pool, &count) in &snapshot.waiting {
             self.waiting.with_label_values(&[pool]).set(count as i64);
         }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -8,7 +8,7 @@
 use poem::web::{Data, Json, Query};
 use poem::{EndpointExt, IntoResponse, Response, Route, Server, get, handler, post};
 use serde::Deserialize;
-use teaselshunt_core::{Event, Snapshot, TeamView};
+use teaselshunt_core::{Event, InstanceView, TeamView};
 use teaselshunt_wire::status::{ClassStatus, EndpointStatus, MemberStatus, Status, TeamStatus};
 use tokio::net::TcpListener;
 
@@ -59,7 +59,7 @@
     }
 }
 
-fn report(desk: &Desk, snapshot: Snapshot) -> Status {
+fn report(desk: &Desk, snapshot: InstanceView) -> Status {
     let members = snapshot.members.into_iter().map(|m| MemberStatus {
         name: m.name,
         domain: m.domain,
@@ -83,8 +83,8 @@
         site,
         answered: c.answered,
         good: c.good,
-        prefilled: c.prefilled,
-        wasted: c.wasted,
+        prefilled: c.prefilled_tokens,
+        wasted: c.wasted_tokens,
     });
     let teams = snapshot.teams.into_iter().map(|team| {
         let TeamView { name, rate, burst, level, admitted } = team;
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -12,7 +12,7 @@
 use rand::Rng;
 use reqwest::{Client, StatusCode};
 use slog::{Logger, warn};
-use teaselshunt_core::{Event, Listed, Offer, Source};
+use teaselshunt_core::{ConfigurationCandidate, Event, InstanceList, Source};
 use teaselshunt_wire::platform::{CONFIGURATION, INSTANCES};
 
 use crate::control::Control;
@@ -82,16 +82,16 @@
             Document::Instances => (INSTANCES, &self.control.published.revision),
         };
         let after = after.load(Ordering::Acquire);
-        let asked = self.control.clock.now();
+        let read_started = self.control.clock.now();
         let url = format!("http://{address}{path}?after={after}&wait_ms={}", WAIT.as_millis());
         let response = self.client.get(url).timeout(WAIT + SLACK).send().await?;
         match response.status() {
             StatusCode::OK => {
                 let text = response.text().await?;
-                self.take(&text, asked)?;
+                self.take(&text, read_started)?;
             }
             StatusCode::NO_CONTENT if self.document == Document::Instances => {
-                self.control.send(Event::Unchanged { revision: after, asked });
+                self.control.send(Event::ListUnchanged { revision: after, read_started });
             }
             StatusCode::NO_CONTENT => {}
             status => return Err(WatchError::Status(status)),
@@ -99,13 +99,15 @@
         Ok(())
     }
 
-    fn take(&self, text: &str, asked: std::time::Instant) -> Result<(), WatchError> {
+    fn take(&self, text: &str, read_started: std::time::Instant) -> Result<(), WatchError> {
         let source = Source::Platform;
         match self.document {
-            Document::Configuration => self.control.send(Event::Offered { offer: Offer::read(text), source }),
+            Document::Configuration => self
+                .control
+                .send(Event::ConfigurationRead { candidate: ConfigurationCandidate::parse(text), source }),
             Document::Instances => {
-                let list: Listed = serde_json::from_str(text)?;
-                self.control.send(Event::Listed { list, source, asked });
+                let list: InstanceList = serde_json::from_str(text)?;
+                self.control.send(Event::ListRead { list, source, read_started });
             }
         }
         Ok(())
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -85,7 +85,7 @@
             let part = state.rng.random_range(0.0..1.0);
             let (level, held) = (state.quotas.level(tag).unwrap_or(0.0), state.quotas.part());
             trace.step("limit", &team.name, &format!("cost:{cost},left:{level:.0},part:{held:.2}"));
-            Err(Refusal::later(ErrorKind::QuotaExceeded, way_back(shortage, part)))
+            Err(Refusal::retryable(ErrorKind::QuotaExceeded, way_back(shortage, part)))
         }
     }
 }
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use slog::{info, warn};
-use teaselshunt_core::{Crash, EndpointStart, Fingerprint};
+use teaselshunt_core::{Crash, EndpointIncarnation, Fingerprint};
 use teaselshunt_routing::{EndpointKey, EndpointState};
 
 use crate::node::{Job, Node};
@@ -69,7 +69,7 @@
 /// A run whose caller left, and the endpoint that it was at.
 #[derive(Debug)]
 struct Left {
-    endpoint: EndpointStart,
+    endpoint: EndpointIncarnation,
     id: Arc<str>,
     loss: Loss,
 }
@@ -85,7 +85,7 @@
     }
 
     /// Takes out those that were present when an endpoint crashed.
-    fn take(&mut self, endpoint: EndpointStart, crashed: Instant) -> Vec<Left> {
+    fn take(&mut self, endpoint: EndpointIncarnation, crashed: Instant) -> Vec<Left> {
         let present = |left: &mut Left| {
             let at = left.loss.at;
             left.endpoint == endpoint && at.max(crashed).duration_since(at.min(crashed)) < PRESENT
@@ -155,13 +155,13 @@
 }
 
 /// Notes that an endpoint crashed under requests.
-fn accuse(node: &Node, id: &str, endpoint: EndpointStart, losses: Vec<Loss>) {
+fn accuse(node: &Node, id: &str, endpoint: EndpointIncarnation, losses: Vec<Loss>) {
     let requests: Vec<_> = losses.iter().map(Loss::text).collect();
     info!(node.log, "endpoint"; "endpoint" => id, "state" => "crashed", "under" => requests.join(" "));
     let now = node.now();
     for Loss { fingerprint: request, at, .. } in losses {
         let crash = Crash { request, endpoint, at };
-        if node.state.borrow_mut().quarantine.crashed(now, crash) {
+        if node.state.borrow_mut().quarantine.observe_crash(now, crash) {
             log_quarantine(node, request);
         }
     }
@@ -169,11 +169,11 @@
 
 /// Address, id and start of an endpoint that is expected to end what it runs. One that leaves as planned, or has left the
 /// list, is not.
-fn listed(node: &Node, endpoint: EndpointKey) -> Option<(SocketAddr, Arc<str>, EndpointStart)> {
+fn listed(node: &Node, endpoint: EndpointKey) -> Option<(SocketAddr, Arc<str>, EndpointIncarnation)> {
     let state = node.state.borrow();
     let tag = state.endpoints.tag(endpoint)?;
     let found = state.endpoints.get(endpoint).filter(|e| e.state == EndpointState::Ready)?;
-    Some((found.address, Arc::clone(&found.id), EndpointStart(u64::from(tag.0))))
+    Some((found.address, Arc::clone(&found.id), EndpointIncarnation(u64::from(tag.0))))
 }
 
 /// A request is in quarantine from now on.
--- a/crates/forward/src/generate.rs
+++ b/crates/forward/src/generate.rs
@@ -183,7 +183,7 @@
     if ran {
         return Err(Refusal::new(ErrorKind::OutcomeUnknown));
     }
-    Err(Refusal::later(ErrorKind::Overloaded, AGAIN))
+    Err(Refusal::retryable(ErrorKind::Overloaded, AGAIN))
 }
 
 /// Has the prompt read.
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -372,12 +372,12 @@
             return None;
         }
         let until = state.quarantine.until(now, job.fingerprint())?;
-        Some(Refusal::later(ErrorKind::Quarantined, until.duration_since(now)))
+        Some(Refusal::retryable(ErrorKind::Quarantined, until.duration_since(now)))
     }
 
     /// A request was answered whole by its endpoint.
     pub(crate) fn served(&self, job: &Job) {
-        self.state.borrow_mut().quarantine.served(self.now(), job.fingerprint());
+        self.state.borrow_mut().quarantine.observe_success(self.now(), job.fingerprint());
     }
 
     /// Takes a repeat from the service's budget.
--- a/crates/forward/src/peers.rs
+++ b/crates/forward/src/peers.rs
@@ -234,10 +234,10 @@
 
     fn receive_crashes(&self, now: Instant, crashes: Vec<CrashReport>, served: Vec<Fingerprint>) {
         for request in served {
-            self.node.state.borrow_mut().quarantine.told_served(now, request);
+            self.node.state.borrow_mut().quarantine.merge_success(now, request);
         }
         for crash in crashes.into_iter().map(|report| report.crash(now, self.started)) {
-            if self.node.state.borrow_mut().quarantine.told(now, crash) {
+            if self.node.state.borrow_mut().quarantine.merge_crash(now, crash) {
                 log_quarantine(&self.node, crash.request);
             }
             crashes::told(&self.node, crash);
@@ -271,7 +271,7 @@
             let in_flight = state.endpoints.in_flight().into_iter().map(|(tag, t)| (tag.0, t)).collect();
             let suspects = state.endpoints.suspects(now).into_iter().map(|tag| tag.0).collect();
             let reads = state.endpoints.reading().into_iter().map(|tag| tag.0).collect();
-            let news = state.quarantine.news(now, newcomers);
+            let news = state.quarantine.update(now, newcomers);
             let spending = state.quotas.spending(uptime);
             let instances = state.quotas.remembered();
             (in_flight, suspects, reads, news, spending, instances)
@@ -281,7 +281,7 @@
         let unheard = self.seeds.iter().filter(|s| **s != self.own && !self.peers.contains(**s));
         targets.extend(unheard.filter(|_| asks || self.peers.is_empty()));
         let Self { life, sequence, .. } = *self;
-        let crashes: Vec<_> = news.crashes.into_iter().map(|crash| CrashReport::of(now, crash)).collect();
+        let crashes: Vec<_> = news.crashes.into_iter().map(|crash| CrashReport::new(now, crash)).collect();
         let served = news.served;
         let rates = rates::news(&self.node);
         let urgent = !crashes.is_empty() || !served.is_empty() || !rates.is_empty();
--- a/crates/forward/src/plain.rs
+++ b/crates/forward/src/plain.rs
@@ -89,8 +89,8 @@
         }
         match (self.ran, self.sent) {
             (true, _) => Refusal::new(uncertain(node, job)),
-            (false, 0) => Refusal::later(ErrorKind::NoEndpoint, NO_ENDPOINT),
-            (false, _) => Refusal::later(ErrorKind::Overloaded, FULL),
+            (false, 0) => Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT),
+            (false, _) => Refusal::retryable(ErrorKind::Overloaded, FULL),
         }
     }
 }
--- a/crates/forward/src/rates.rs
+++ b/crates/forward/src/rates.rs
@@ -161,5 +161,5 @@
     let away = longest.mul_f64(beliefs.rng.random_range(0.0..1.0));
     node.metrics.limit_refusals.with_label_values(&[service]).inc();
     trace.step("rate", service, &format!("limited_to:{rate:.1},back_within:{:.1}s", longest.as_secs_f64()));
-    Some(Refusal::later(ErrorKind::Overloaded, away))
+    Some(Refusal::retryable(ErrorKind::Overloaded, away))
 }
--- a/crates/forward/src/refusals.rs
+++ b/crates/forward/src/refusals.rs
@@ -22,7 +22,7 @@
     let mut response = Response::new(AnswerBody::short(Bytes::from(text)));
     *response.status_mut() = StatusCode::from_u16(answer.status).expect("the table has valid statuses");
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(wait) = refusal.retry {
+    if let Some(wait) = refusal.retry_after {
         // Spread, so that callers who were refused together do not come back together.
         let spread = wait.mul_f64(node.state.borrow_mut().rng.random_range(0.75..1.25));
         let seconds = HeaderValue::from_str(&format!("{:.3}", spread.as_secs_f64()));
--- a/crates/forward/src/requests.rs
+++ b/crates/forward/src/requests.rs
@@ -64,7 +64,7 @@
     let key = node.protocol.take_key(&mut head.headers).map(|key| key.digest());
     let mut holding = Holding::new(node, Held::Request);
     let body = read_body(body, routes.as_deref(), &mut holding).await?;
-    let routes = routes.ok_or(Refusal::later(ErrorKind::NotReady, ELSEWHERE))?;
+    let routes = routes.ok_or(Refusal::retryable(ErrorKind::NotReady, ELSEWHERE))?;
     let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).or_else(|| head.uri.host());
     let route = routes
         .find(host.unwrap_or_default(), head.uri.path())
@@ -74,7 +74,7 @@
     trace.team(team.as_deref());
     let short = !matches!(route.repeat, Repeat::Stream { .. });
     if node.phase() >= if short { Phase::Ending } else { Phase::Refusing } {
-        return Err(Refusal::later(ErrorKind::Stopping, ELSEWHERE));
+        return Err(Refusal::retryable(ErrorKind::Stopping, ELSEWHERE));
     }
     let charge = charge(node, team.as_deref(), &meta, trace)?;
     let (service, returns) = {
@@ -131,7 +131,7 @@
             Err(Refusal::new(ErrorKind::TooLarge))
         }
         Ok(Err(CollectError::Body(_))) => Err(Refusal::new(ErrorKind::Invalid)),
-        Ok(Err(CollectError::Full(..))) => Err(Refusal::later(ErrorKind::Overloaded, HELD)),
+        Ok(Err(CollectError::Full(..))) => Err(Refusal::retryable(ErrorKind::Overloaded, HELD)),
         Err(_) => Err(Refusal::new(ErrorKind::Incomplete)),
     }
 }
--- a/crates/forward/src/rooms.rs
+++ b/crates/forward/src/rooms.rs
@@ -127,11 +127,11 @@
     }
     trace.step("reserve", "any", want.text());
     match want {
-        Want::Instance => Err(Refusal::later(ErrorKind::Stopping, ELSEWHERE)),
-        Want::Open => Err(Refusal::later(ErrorKind::NoEndpoint, NO_ENDPOINT)),
+        Want::Instance => Err(Refusal::retryable(ErrorKind::Stopping, ELSEWHERE)),
+        Want::Open => Err(Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT)),
         Want::Room | Want::Prefill => {
             let left = job.until.saturating_duration_since(node.now());
-            let full = Refusal::later(ErrorKind::Overloaded, way_back(left));
+            let full = Refusal::retryable(ErrorKind::Overloaded, way_back(left));
             Err(rates::refusal(node, job, trace, Some(want.stage())).unwrap_or(full))
         }
     }
