--- a/crates/bench/src/commands/cost.rs
+++ b/crates/bench/src/commands/cost.rs
@@ -12,7 +12,7 @@
 use teaselshunt_settings::Role;
 use teaselshunt_standin::{Engine, EngineOptions, Platform};
 use teaselshunt_wire::engine::{
-    DECODE, DecodeRequest, IMPORT, ImportRequest, PREFILL, PrefillRequest, PrefillResponse,
+    DECODE_PATH, DecodeRequest, IMPORT_PATH, ImportRequest, PREFILL_PATH, PrefillRequest, PrefillResponse,
 };
 
 use super::CommandError;
@@ -99,7 +99,7 @@
         });
         let platform = Platform::start(any, &configuration.to_string()).await?;
         let directory = tempfile::TempDir::new()?;
-        teaselshunt_ctl::make_keys(directory.path(), &["bench".to_owned()])?;
+        teaselshunt_ctl::generate_keys(directory.path(), &["bench".to_owned()])?;
         let key = |name: &str| directory.path().join(name);
         let (callers, peers) = (free()?, free()?);
         let settings = json!({
@@ -161,15 +161,15 @@
             priority: 0,
         };
         let url = |engine: &Engine, path: &str| format!("http://{}{path}", engine.address());
-        let reply = self.client.post(url(&self.prefill, PREFILL)).json(&request).send().await?;
+        let reply = self.client.post(url(&self.prefill, PREFILL_PATH)).json(&request).send().await?;
         let handle = reply.error_for_status()?.json::<PrefillResponse>().await?.handle;
         let origin = self.prefill.address();
         let request = ImportRequest { request_id: id.clone(), origin, handle };
-        let reply = self.client.post(url(&self.decode, IMPORT)).json(&request).send().await?;
+        let reply = self.client.post(url(&self.decode, IMPORT_PATH)).json(&request).send().await?;
         reply.error_for_status()?.json::<Value>().await?;
         let request =
             DecodeRequest { request_id: id, resume: None, offset: 0, max_tokens: limit, priority: 0 };
-        let reply = self.client.post(url(&self.decode, DECODE)).json(&request).send().await?;
+        let reply = self.client.post(url(&self.decode, DECODE_PATH)).json(&request).send().await?;
         let mut response = reply.error_for_status()?;
         response.chunk().await?;
         let took = start.elapsed();
--- a/crates/bench/src/commands/quotas.rs
+++ b/crates/bench/src/commands/quotas.rs
@@ -5,7 +5,7 @@
 use gumdrop::Options;
 use quickcheck::{Arbitrary, Gen};
 use teaselshunt_bench::{QuotaOutcome, QuotaPlan};
-use teaselshunt_teams::Way;
+use teaselshunt_teams::QuotaMode;
 
 use super::{CommandError, for_seeds};
 
@@ -29,7 +29,7 @@
 /// A plan's seed and what it showed with each way.
 type Row = (u64, QuotaPlan, [QuotaOutcome; 2]);
 
-const WAYS: [Way; 2] = [Way::Parts, Way::Shared];
+const WAYS: [QuotaMode; 2] = [QuotaMode::Parts, QuotaMode::Shared];
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), CommandError> {
     let rows = Mutex::new(Vec::<Row>::new());
@@ -51,7 +51,7 @@
     if over == 0 { Ok(()) } else { Err(CommandError::Violations(over)) }
 }
 
-fn print_way(way: Way, rows: &[Row], index: usize) {
+fn print_way(way: QuotaMode, rows: &[Row], index: usize) {
     let outcomes = || rows.iter().map(|row| (&row.1, &row.2[index]));
     let over = outcomes().filter(|(_, outcome)| outcome.is_over()).count();
     let fullest = outcomes().map(|(_, outcome)| outcome.fullest).fold(0.0, f64::max);
--- a/crates/bench/src/quotas.rs
+++ b/crates/bench/src/quotas.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
-use teaselshunt_teams::{Hearing, Limit, Quotas, Spending, Start, TeamTag, Way};
+use teaselshunt_teams::{Limit, QuotaMode, Quotas, StartKind, TeamSpending, TeamTag, UpdateHeader};
 
 const TEAM: TeamTag = TeamTag(1);
 const LIMIT: Limit = Limit { rate: 10_000.0, burst: 10_000.0 };
@@ -163,13 +163,13 @@
     at: Duration,
     from: usize,
     to: usize,
-    hearing: Hearing,
-    spent: Vec<Spending>,
+    hearing: UpdateHeader,
+    spent: Vec<TeamSpending>,
 }
 
 struct Run<'a> {
     plan: &'a QuotaPlan,
-    way: Way,
+    way: QuotaMode,
     rng: SmallRng,
     now: Duration,
     nodes: Vec<Node>,
@@ -185,7 +185,7 @@
 
 impl QuotaPlan {
     /// Plays the plan with a way to keep limits.
-    pub fn run(&self, way: Way) -> QuotaOutcome {
+    pub fn run(&self, way: QuotaMode) -> QuotaOutcome {
         const LENGTH: Duration = Duration::from_secs(20);
         let mut run = Run::new(self, way);
         while run.now < BEGIN + CALM + LENGTH {
@@ -198,7 +198,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(plan: &'a QuotaPlan, way: Way) -> Self {
+    fn new(plan: &'a QuotaPlan, way: QuotaMode) -> Self {
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let domains = plan.domains.len() as u32;
         let mut nodes = Vec::new();
@@ -206,7 +206,7 @@
             for _ in 0..count {
                 let weight: f64 = rng.random_range(0.05..1.0);
                 nodes.push(Node {
-                    quotas: opened(BEGIN, way, Start::First, (domain as u32, domains)),
+                    quotas: opened(BEGIN, way, StartKind::First, (domain as u32, domains)),
                     domain: domain as u8,
                     life: rng.random(),
                     sequence: 0,
@@ -293,7 +293,7 @@
         let domains = self.plan.domains.len() as u32;
         let life = self.rng.random();
         let node = &mut self.nodes[index];
-        node.quotas = opened(self.now, self.way, Start::Again, (u32::from(node.domain), domains));
+        node.quotas = opened(self.now, self.way, StartKind::Subsequent, (u32::from(node.domain), domains));
         node.life = life;
         node.sequence = 0;
         node.ready = self.now + READING;
@@ -313,8 +313,8 @@
         let node = &mut self.nodes[from];
         node.sequence += 1;
         let (life, sequence, domain) = (node.life, node.sequence, node.domain);
-        let instances = node.quotas.remembered();
-        let spent = node.quotas.spending(self.now);
+        let instances = node.quotas.known_instances();
+        let spent = node.quotas.team_spending(self.now);
         for to in 0..self.nodes.len() {
             if to == from {
                 continue;
@@ -325,7 +325,13 @@
             {
                 continue;
             }
-            let hearing = Hearing { life, sequence, domain: u32::from(domain), leaving: false, instances };
+            let hearing = UpdateHeader {
+                incarnation: life,
+                sequence,
+                domain: u32::from(domain),
+                draining: false,
+                known_instances: instances,
+            };
             // One in twenty comes twice, and one in twenty late.
             let copies = if self.rng.random_bool(0.05) { 2 } else { 1 };
             for _ in 0..copies {
@@ -344,8 +350,8 @@
             if telling.at > now || node.frozen {
                 return !node.down;
             }
-            if !node.down && node.quotas.heard(now, telling.from, telling.hearing) {
-                node.quotas.told(now, telling.from, telling.spent.iter().copied());
+            if !node.down && node.quotas.receive_update(now, telling.from, telling.hearing) {
+                node.quotas.merge_spending(now, telling.from, telling.spent.iter().copied());
             }
             false
         });
@@ -388,7 +394,7 @@
     }
 }
 
-fn opened(now: Duration, way: Way, start: Start, domains: (u32, u32)) -> Quotas<usize> {
+fn opened(now: Duration, way: QuotaMode, start: StartKind, domains: (u32, u32)) -> Quotas<usize> {
     let mut quotas = Quotas::new(now, way, start, domains);
     quotas.set_limits(now, [(TEAM, LIMIT)]);
     quotas
--- a/crates/bench/tests/all/quotas.rs
+++ b/crates/bench/tests/all/quotas.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 use teaselshunt_bench::{Mishap, QuotaPlan, QuotaTrouble};
-use teaselshunt_teams::Way;
+use teaselshunt_teams::QuotaMode;
 
 /// Size given to the generator; plans bound themselves.
 const SIZE: usize = 100;
@@ -16,7 +16,7 @@
 #[test]
 fn no_window_holds_more_than_limit_and_tolerance() {
     for seed in 1..400 {
-        for way in [Way::Parts, Way::Shared] {
+        for way in [QuotaMode::Parts, QuotaMode::Shared] {
             let outcome = plan(seed).run(way);
             assert!(!outcome.is_over(), "seed {seed}, {way:?}: {outcome:?}, {:?}", plan(seed));
         }
@@ -29,7 +29,7 @@
 fn a_team_below_its_limit_is_refused_next_to_nothing() {
     for seed in 1..100 {
         let plan = QuotaPlan { demand: 5, troubles: Vec::new(), ..plan(seed) };
-        let outcome = plan.run(Way::Shared);
+        let outcome = plan.run(QuotaMode::Shared);
         assert!(outcome.admitted >= outcome.asked * 0.995, "seed {seed}: {outcome:?}, {plan:?}");
     }
 }
@@ -38,7 +38,7 @@
 /// what both sides had of the level at the cut's beginning was divided between them, this exceeded the bound by 4 in 100.
 #[test]
 fn a_start_of_all_inside_a_cut_keeps_to_the_bound() {
-    let outcome = plan(12_021).run(Way::Shared);
+    let outcome = plan(12_021).run(QuotaMode::Shared);
     assert!(!outcome.is_over(), "{outcome:?}");
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn domains_that_are_all_cut_off_as_a_flood_begins_keep_to_the_bound() {
     for seed in [7_228, 15_667] {
-        let outcome = plan(seed).run(Way::Shared);
+        let outcome = plan(seed).run(QuotaMode::Shared);
         assert!(!outcome.is_over(), "seed {seed}: {outcome:?}");
     }
 }
@@ -56,7 +56,7 @@
 fn a_cut_starves_nobody() {
     let cut = QuotaTrouble { what: Mishap::Cut { domain: 0 }, at: 2000, length: 16_000 };
     let base = QuotaPlan { seed: 5, domains: vec![2, 6], demand: 20, skew: 0, loss: 2, troubles: vec![cut] };
-    let outcome = base.run(Way::Shared);
+    let outcome = base.run(QuotaMode::Shared);
     let limit = 10_000.0 * 20.0;
     assert!(outcome.admitted >= limit * 0.9, "{outcome:?}");
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -9,7 +9,9 @@
 
 use rand::Rng;
 use teaselshunt_settings::{Configuration, TeamUnit};
-use teaselshunt_teams::{Hearing, KeyDigest, Limit, Quotas, Start, Team, TeamTag, Teams, Unit, Way};
+use teaselshunt_teams::{
+    KeyDigest, Limit, QuotaMode, Quotas, StartKind, Team, TeamTag, Teams, Unit, UpdateHeader,
+};
 
 use crate::InstanceId;
 use crate::error::{ErrorKind, Refusal};
@@ -89,7 +91,7 @@
 impl Limits {
     /// No accounts yet. Nobody tells an instance whether the whole system starts for the first time.
     pub(crate) fn new(now: Instant) -> Self {
-        let quotas = Quotas::new(Duration::ZERO, Way::Shared, Start::Again, (0, 0));
+        let quotas = Quotas::new(Duration::ZERO, QuotaMode::Shared, StartKind::Subsequent, (0, 0));
         Self { quotas, teams: HashMap::new(), next_telling: now, sequence: 0 }
     }
 }
@@ -142,7 +144,7 @@
     pub(crate) fn close(&mut self, now: Instant, key: RequestKey) -> Request {
         let request = self.requests.close(key);
         if let Some(charge) = request.charge.filter(|_| !request.may_have_run()) {
-            self.limits.quotas.give_back(self.account_time(now), charge.team, charge.cost);
+            self.limits.quotas.refund(self.account_time(now), charge.team, charge.cost);
         }
         request
     }
@@ -150,10 +152,10 @@
     /// Looks who is alive.
     pub(crate) fn review_limits(&mut self, now: Instant) {
         let at = self.account_time(now);
-        self.limits.quotas.expect(self.members.iter().count() as u32 + 1);
+        self.limits.quotas.set_listed_instances(self.members.iter().count() as u32 + 1);
         for (id, member) in self.members.iter() {
             if matches!(member.health, Health::Alive) {
-                self.limits.quotas.alive(at, id, member.incarnation);
+                self.limits.quotas.observe_alive(at, id, member.incarnation);
             }
         }
         self.limits.quotas.tick(at);
@@ -166,7 +168,7 @@
         }
         self.limits.next_telling = now + TELL;
         let at = self.account_time(now);
-        let spent = self.limits.quotas.spending(at);
+        let spent = self.limits.quotas.team_spending(at);
         if spent.is_empty() {
             return;
         }
@@ -186,10 +188,11 @@
     /// A member tells what it admitted.
     pub(crate) fn told_spending(&mut self, now: Instant, from: InstanceId, news: TeamNews) {
         let TeamNews { incarnation, sequence, stopping, spent } = news;
-        let hearing = Hearing { life: incarnation, sequence, domain: 0, leaving: stopping, instances: 1 };
+        let hearing =
+            UpdateHeader { incarnation, sequence, domain: 0, draining: stopping, known_instances: 1 };
         let at = self.account_time(now);
-        if self.limits.quotas.heard(at, from, hearing) {
-            self.limits.quotas.told(at, from, spent);
+        if self.limits.quotas.receive_update(at, from, hearing) {
+            self.limits.quotas.merge_spending(at, from, spent);
         }
     }
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use teaselshunt_teams::Spending;
+use teaselshunt_teams::TeamSpending;
 
 use crate::quarantine::CrashReport;
 use crate::{EndpointId, Fingerprint, IdempotencyKey, InstanceId, Listed, PoolId, RequestId, Stored};
@@ -167,7 +167,7 @@
     /// Whether the sender is stopping.
     pub stopping: bool,
     /// The teams.
-    pub spent: Vec<Spending>,
+    pub spent: Vec<TeamSpending>,
 }
 
 /// What a request needs of its pool.
--- a/crates/ctl/src/changes.rs
+++ b/crates/ctl/src/changes.rs
@@ -5,7 +5,7 @@
 use teaselshunt_settings::{Configuration, Endpoint, EndpointState};
 
 /// Every difference that an operator would want to read before publishing.
-pub fn changes(old: &Configuration, new: &Configuration) -> Vec<String> {
+pub fn describe_changes(old: &Configuration, new: &Configuration) -> Vec<String> {
     let mut lines = Vec::new();
     sites(old, new, &mut lines);
     endpoints(old, new, &mut lines);
--- a/crates/ctl/src/commands/keys.rs
+++ b/crates/ctl/src/commands/keys.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use gumdrop::Options;
-use teaselshunt_ctl::make_keys;
+use teaselshunt_ctl::generate_keys;
 
 use super::Failure;
 
@@ -18,7 +18,7 @@
 }
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), Failure> {
-    make_keys(Path::new(&arguments.directory), &arguments.instances)?;
+    generate_keys(Path::new(&arguments.directory), &arguments.instances)?;
     println!("{} keys in {}", arguments.instances.len(), arguments.directory);
     Ok(())
 }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 use gumdrop::Options;
-use teaselshunt_settings::Mistakes;
+use teaselshunt_settings::ValidationErrors;
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
@@ -19,7 +19,7 @@
     #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
     #[error("{path}: {} found:\n{mistakes}", count(.mistakes))]
-    Mistakes { path: String, mistakes: Mistakes },
+    Mistakes { path: String, mistakes: ValidationErrors },
     #[error("{0}")]
     Usage(String),
     #[error("{address} cannot be asked: {error}")]
@@ -41,7 +41,7 @@
     }
 }
 
-fn count(mistakes: &Mistakes) -> String {
+fn count(mistakes: &ValidationErrors) -> String {
     match mistakes.0.len() {
         1 => "1 mistake".to_owned(),
         n => format!("{n} mistakes"),
--- a/crates/ctl/src/commands/patch.rs
+++ b/crates/ctl/src/commands/patch.rs
@@ -4,7 +4,7 @@
 
 use gumdrop::Options;
 use serde_json::Value;
-use teaselshunt_ctl::changes;
+use teaselshunt_ctl::describe_changes;
 use teaselshunt_settings::{Configuration, parse_configuration};
 
 use super::{Failure, read};
@@ -38,7 +38,7 @@
     let next = apply(patch, &text, current.version + 1)?;
     let parsed = parse(&format!("{configuration} with {patch}"), &next)?;
     eprintln!("version {} would become version {}:", current.version, parsed.version);
-    let lines = changes(&current, &parsed);
+    let lines = describe_changes(&current, &parsed);
     for line in &lines {
         eprintln!("  {line}");
     }
@@ -63,7 +63,7 @@
     );
     if let Some(was) = &arguments.was {
         text.push_str("\nwhat has changed since:");
-        for line in changes(&parse(was, &read(was)?)?, current) {
+        for line in describe_changes(&parse(was, &read(was)?)?, current) {
             text.push_str("\n  ");
             text.push_str(&line);
         }
--- a/crates/ctl/src/commands/team_key.rs
+++ b/crates/ctl/src/commands/team_key.rs
@@ -18,5 +18,5 @@
 pub(crate) fn run(_arguments: &Arguments) {
     let text: String = rand::rng().sample_iter(Alphanumeric).take(LENGTH).map(char::from).collect();
     println!("key, for the team's callers only: {text}");
-    println!("digest, for /teams/N/keys of the configuration: {}", ApiKey::new(text).digest().hex());
+    println!("digest, for /teams/N/keys of the configuration: {}", ApiKey::new(text).digest().to_hex());
 }
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -20,7 +20,7 @@
     },
     /// The cryptography library refuses.
     #[error("keys cannot be made: {0}")]
-    Make(#[from] rcgen::Error),
+    Generate(#[from] rcgen::Error),
 }
 
 /// Writes `NAME.pem` and `NAME.key` for each instance into a directory, signed by the authority found there
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// A file cannot be read or written, or a name cannot stand in a certificate.
-pub fn make_keys(directory: &Path, instances: &[String]) -> Result<(), KeyError> {
+pub fn generate_keys(directory: &Path, instances: &[String]) -> Result<(), KeyError> {
     std::fs::create_dir_all(directory)
         .map_err(|error| KeyError::File { path: directory.to_owned(), error })?;
     let authority = authority(directory)?;
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -3,5 +3,5 @@
 mod changes;
 mod keys;
 
-pub use changes::changes;
-pub use keys::{KeyError, make_keys};
+pub use changes::describe_changes;
+pub use keys::{KeyError, generate_keys};
--- a/crates/daemon/src/engines.rs
+++ b/crates/daemon/src/engines.rs
@@ -53,7 +53,7 @@
         request: &PrefillRequest,
         timeout: Duration,
     ) -> Result<PrefillResponse, Fault> {
-        let call = self.post(address, engine::PREFILL, request).timeout(timeout);
+        let call = self.post(address, engine::PREFILL_PATH, request).timeout(timeout);
         read_json(send(call).await?).await
     }
 
@@ -63,7 +63,7 @@
         request: &ImportRequest,
         timeout: Duration,
     ) -> Result<ImportResponse, Fault> {
-        let call = self.post(address, engine::IMPORT, request).timeout(timeout);
+        let call = self.post(address, engine::IMPORT_PATH, request).timeout(timeout);
         read_json(send(call).await?).await
     }
 
@@ -73,13 +73,13 @@
         address: SocketAddr,
         request: &DecodeRequest,
     ) -> Result<Response, Fault> {
-        send(self.post(address, engine::DECODE, request)).await
+        send(self.post(address, engine::DECODE_PATH, request)).await
     }
 
     /// Whether the engine confirmed that it holds nothing of the try any more.
     pub(crate) async fn cancel(&self, address: SocketAddr, attempt: AttemptId) -> bool {
         let request = CancelRequest { request_id: attempt.to_string() };
-        let call = self.post(address, engine::CANCEL, &request).timeout(SHORT);
+        let call = self.post(address, engine::CANCEL_PATH, &request).timeout(SHORT);
         let Ok(response) = send(call).await else {
             return false;
         };
@@ -87,7 +87,7 @@
     }
 
     pub(crate) async fn load(&self, address: SocketAddr) -> Option<Report> {
-        let call = self.client.get(url(address, engine::LOAD)).timeout(SHORT);
+        let call = self.client.get(url(address, engine::LOAD_PATH)).timeout(SHORT);
         let report: LoadReport = read_json(send(call).await.ok()?).await.ok()?;
         // Work that is not of this system has other ids; it counts as load but cannot be owned.
         let ids = report.running.iter().filter_map(|r| r.request_id.parse().ok());
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -13,7 +13,7 @@
 use slog::{Logger, debug, info, warn};
 use teaselshunt_core::{Event, InstanceId, Message};
 use teaselshunt_settings::Keys;
-use teaselshunt_wire::peer::{MESSAGE_MAX, decode, encode};
+use teaselshunt_wire::peer::{MAX_MESSAGE_BYTES, decode, encode};
 use tokio::sync::mpsc;
 
 use crate::control::Control;
@@ -89,7 +89,7 @@
         while let Ok(mut stream) = connection.accept_uni().await {
             let control = self.control.clone();
             tokio::spawn(async move {
-                let Ok(bytes) = stream.read_to_end(MESSAGE_MAX).await else {
+                let Ok(bytes) = stream.read_to_end(MAX_MESSAGE_BYTES).await else {
                     return;
                 };
                 // A peer of a later version may say things that this one does not know; they are passed over.
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -13,7 +13,7 @@
 use reqwest::{Client, StatusCode};
 use slog::{Logger, warn};
 use teaselshunt_core::{Event, Listed, Offer, Source};
-use teaselshunt_wire::platform::{CONFIGURATION, INSTANCES};
+use teaselshunt_wire::platform::{CONFIGURATION_PATH, INSTANCES_PATH};
 
 use crate::control::Control;
 
@@ -78,8 +78,8 @@
 
     async fn call(&self, address: SocketAddr) -> Result<(), WatchError> {
         let (path, after) = match self.document {
-            Document::Configuration => (CONFIGURATION, &self.control.published.version),
-            Document::Instances => (INSTANCES, &self.control.published.revision),
+            Document::Configuration => (CONFIGURATION_PATH, &self.control.published.version),
+            Document::Instances => (INSTANCES_PATH, &self.control.published.revision),
         };
         let after = after.load(Ordering::Acquire);
         let asked = self.control.clock.now();
--- a/crates/daemon/tests/all/peers.rs
+++ b/crates/daemon/tests/all/peers.rs
@@ -1,7 +1,7 @@
 //! Who may speak as a peer.
 
 use serde_json::Value;
-use teaselshunt_ctl::make_keys;
+use teaselshunt_ctl::generate_keys;
 
 use crate::support::{Daemon, Fleet, until};
 
@@ -17,7 +17,7 @@
 async fn a_stranger_with_a_listed_name_is_not_believed() {
     let mut fleet = Fleet::start(2).await;
     let elsewhere = tempfile::TempDir::new().unwrap();
-    make_keys(elsewhere.path(), &["entry-1".to_owned()]).unwrap();
+    generate_keys(elsewhere.path(), &["entry-1".to_owned()]).unwrap();
     fleet.adjust(1, |s| {
         s["keys"]["authority"] = elsewhere.path().join("authority.pem").to_string_lossy().into();
         s["keys"]["certificate"] = elsewhere.path().join("entry-1.pem").to_string_lossy().into();
--- a/crates/daemon/tests/all/support.rs
+++ b/crates/daemon/tests/all/support.rs
@@ -8,7 +8,7 @@
 
 use reqwest::{Client, RequestBuilder, Response};
 use serde_json::{Value, json};
-use teaselshunt_ctl::make_keys;
+use teaselshunt_ctl::generate_keys;
 use teaselshunt_settings::Role;
 use teaselshunt_standin::{Engine, EngineOptions, Platform, Service};
 use tempfile::TempDir;
@@ -93,7 +93,7 @@
         let platform = Platform::start(loopback(), &configuration.to_string()).await.unwrap();
         let directory = TempDir::new().unwrap();
         let names: Vec<String> = (0..instances).map(|i| format!("entry-{i}")).collect();
-        make_keys(directory.path(), &names).unwrap();
+        generate_keys(directory.path(), &names).unwrap();
         let settings: Vec<Value> =
             names.iter().map(|n| settings(n, platform.address(), directory.path())).collect();
         let listed = settings.iter().map(entry).collect();
@@ -140,7 +140,7 @@
     /// Makes a new authority and new keys for every instance, over the old files.
     pub(crate) fn renew_keys(&self) {
         std::fs::remove_file(self.directory.path().join("authority.key")).unwrap();
-        make_keys(self.directory.path(), &self.names).unwrap();
+        generate_keys(self.directory.path(), &self.names).unwrap();
     }
 
     /// What an instance has logged.
--- a/crates/daemon/tests/all/teams.rs
+++ b/crates/daemon/tests/all/teams.rs
@@ -10,7 +10,7 @@
 const UNKNOWN: &str = "unknown-key-asnmgkcuyj8pjbvk9m68";
 
 fn digest(key: &str) -> String {
-    ApiKey::new(key.to_owned()).digest().hex()
+    ApiKey::new(key.to_owned()).digest().to_hex()
 }
 
 /// Gives a fleet a team with a key, and with a limit in requests if one is given, and waits until it is in force.
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 use teaselshunt_core::{ErrorKind, Refusal};
 use teaselshunt_routing::{Route, RouteSet};
-use teaselshunt_teams::{KeyDigest, Shortage, Team, TeamTag};
+use teaselshunt_teams::{KeyDigest, LimitExceeded, Team, TeamTag};
 
 use crate::node::Node;
 use crate::protocol::Meta;
@@ -60,7 +60,7 @@
         let Some((node, team)) = self.team.take() else { return };
         if self.sends.get() == 0 {
             let now = node.clock.uptime();
-            node.state.borrow_mut().quotas.give_back(now, team, self.cost);
+            node.state.borrow_mut().quotas.refund(now, team, self.cost);
         }
     }
 }
@@ -83,7 +83,7 @@
         Ok(()) => Ok(Charge { team: Some((Rc::clone(node), tag)), cost, sends }),
         Err(shortage) => {
             let part = state.rng.random_range(0.0..1.0);
-            let (level, held) = (state.quotas.level(tag).unwrap_or(0.0), state.quotas.part());
+            let (level, held) = (state.quotas.level(tag).unwrap_or(0.0), state.quotas.reachable_share());
             trace.step("limit", &team.name, &format!("cost:{cost},left:{level:.0},part:{held:.2}"));
             Err(Refusal::later(ErrorKind::QuotaExceeded, way_back(shortage, part)))
         }
@@ -92,6 +92,6 @@
 
 /// When to come back. Whoever is refused by one account is refused with many others; told the same time, they would all
 /// come back at once and find the account as empty.
-fn way_back(shortage: Shortage, part: f64) -> Duration {
+fn way_back(shortage: LimitExceeded, part: f64) -> Duration {
     shortage.wait + shortage.backlog.mul_f64(part)
 }
--- a/crates/forward/src/peers.rs
+++ b/crates/forward/src/peers.rs
@@ -19,7 +19,7 @@
 use slog::{info, warn};
 use teaselshunt_core::{CrashReport, Fingerprint};
 use teaselshunt_routing::{EngineTag, Peers, tag};
-use teaselshunt_teams::{Hearing, Spending};
+use teaselshunt_teams::{TeamSpending, UpdateHeader};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
@@ -73,7 +73,7 @@
     /// Requests that were answered whole after endpoints had crashed under them.
     served: Vec<Fingerprint>,
     /// What teams near their limits were admitted.
-    spending: Vec<Spending>,
+    spending: Vec<TeamSpending>,
     /// Rates that endpoints name, and what was sent to these.
     rates: Vec<RateEntry>,
     /// Instances that the sender remembers, with itself.
@@ -204,16 +204,16 @@
         self.receive_crashes(now, digest.crashes, digest.served);
         let mut state = self.node.state.borrow_mut();
         let uptime = self.node.clock.uptime();
-        let hearing = Hearing {
-            life: digest.life,
+        let hearing = UpdateHeader {
+            incarnation: digest.life,
             sequence: digest.sequence,
             domain,
-            leaving: digest.leaving,
-            instances: digest.instances,
+            draining: digest.leaving,
+            known_instances: digest.instances,
         };
-        let is_new = state.quotas.heard(uptime, from, hearing);
+        let is_new = state.quotas.receive_update(uptime, from, hearing);
         if is_new {
-            state.quotas.told(uptime, from, digest.spending);
+            state.quotas.merge_spending(uptime, from, digest.spending);
         }
         let ledger = state.endpoints.ledger();
         for tag in digest.suspects {
@@ -272,8 +272,8 @@
             let suspects = state.endpoints.suspects(now).into_iter().map(|tag| tag.0).collect();
             let reads = state.endpoints.reading().into_iter().map(|tag| tag.0).collect();
             let news = state.quarantine.news(now, newcomers);
-            let spending = state.quotas.spending(uptime);
-            let instances = state.quotas.remembered();
+            let spending = state.quotas.team_spending(uptime);
+            let instances = state.quotas.known_instances();
             (in_flight, suspects, reads, news, spending, instances)
         };
         // A seed that is not heard may be back.
--- a/crates/forward/src/supervisor.rs
+++ b/crates/forward/src/supervisor.rs
@@ -12,7 +12,7 @@
 use slog::{error, info, warn};
 use teaselshunt_core::{Clock, Quarantine, SystemClock};
 use teaselshunt_routing::{Allowances, Budgets, Endpoints, Memory, Refused, tag};
-use teaselshunt_teams::{Quotas, Start, Way};
+use teaselshunt_teams::{QuotaMode, Quotas, StartKind};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, mpsc, watch};
@@ -27,7 +27,7 @@
 use crate::{front, logs, orders, peers};
 
 /// How instances keep to teams' limits.
-const WAY: Way = Way::Shared;
+const WAY: QuotaMode = QuotaMode::Shared;
 /// Part of the process's memory for bodies that somebody has not read yet. The rest is for connections, lists and the
 /// allocator's own.
 const HELD_PART: f64 = 0.4;
@@ -88,7 +88,7 @@
     let log = logs::start(&settings.instance, &settings.domain);
     let callers = listen(settings.callers).await?;
     let ready = listen(settings.ready).await?;
-    let start_of_all = if settings.first { Start::First } else { Start::Again };
+    let start_of_all = if settings.first { StartKind::First } else { StartKind::Subsequent };
     let domains = (tag(&settings.domain), settings.domains);
     let quotas = Quotas::new(SystemClock.uptime(), WAY, start_of_all, domains);
     let node = Rc::new(Node {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -14,14 +14,14 @@
 
 /// One mistake in a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ValidationError {
     /// JSON pointer to the place, empty for the whole document.
     pub path: String,
     /// What was found there and what is allowed.
     pub text: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let path = if self.path.is_empty() { "/" } else { &self.path };
         write!(f, "{path}: {}", self.text)
@@ -31,49 +31,49 @@
 /// All mistakes in a document, in document order.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-pub struct Mistakes(pub Vec<Mistake>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
 /// Reads a configuration version from JSON text.
 ///
 /// # Errors
 /// Every mistake found; the document is refused whole.
-pub fn parse_configuration(text: &str) -> Result<Configuration, Mistakes> {
+pub fn parse_configuration(text: &str) -> Result<Configuration, ValidationErrors> {
     let configuration = parse::<Configuration>(text)?;
     let mistakes = References::new(&configuration).check();
-    if mistakes.is_empty() { Ok(configuration) } else { Err(Mistakes(mistakes)) }
+    if mistakes.is_empty() { Ok(configuration) } else { Err(ValidationErrors(mistakes)) }
 }
 
 /// Reads the settings of one instance from JSON text.
 ///
 /// # Errors
 /// Every mistake found.
-pub fn parse_settings(text: &str) -> Result<Settings, Mistakes> {
+pub fn parse_settings(text: &str) -> Result<Settings, ValidationErrors> {
     parse(text)
 }
 
-fn parse<T: JsonSchema + DeserializeOwned>(text: &str) -> Result<T, Mistakes> {
+fn parse<T: JsonSchema + DeserializeOwned>(text: &str) -> Result<T, ValidationErrors> {
     let value: Value = serde_json::from_str(text).map_err(|e| single("", format!("not JSON: {e}")))?;
     let schema = serde_json::to_value(schema_for!(T)).expect("a derived schema is JSON");
     let validator = jsonschema::validator_for(&schema).expect("a derived schema is valid");
-    let mistakes: Vec<Mistake> = validator
+    let mistakes: Vec<ValidationError> = validator
         .iter_errors(&value)
-        .map(|e| Mistake { path: e.instance_path.to_string(), text: e.to_string() })
+        .map(|e| ValidationError { path: e.instance_path.to_string(), text: e.to_string() })
         .collect();
     if !mistakes.is_empty() {
-        return Err(Mistakes(mistakes));
+        return Err(ValidationErrors(mistakes));
     }
     // The schema cannot express every format (an IP address and port, say), so the typed read may still fail.
     serde_json::from_value(value).map_err(|e| single("", e.to_string()))
 }
 
-fn single(path: &str, text: String) -> Mistakes {
-    Mistakes(vec![Mistake { path: path.to_owned(), text }])
+fn single(path: &str, text: String) -> ValidationErrors {
+    ValidationErrors(vec![ValidationError { path: path.to_owned(), text }])
 }
 
 /// Checks names and the references between them.
 struct References<'a> {
     configuration: &'a Configuration,
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<ValidationError>,
 }
 
 impl<'a> References<'a> {
@@ -81,7 +81,7 @@
         Self { configuration, mistakes: Vec::new() }
     }
 
-    fn check(mut self) -> Vec<Mistake> {
+    fn check(mut self) -> Vec<ValidationError> {
         let c = self.configuration;
         let domains = self.unique("domains", c.domains.iter().map(|d| d.name.as_str()));
         let sites = self.unique("sites", c.sites.iter().map(|s| s.name.as_str()));
@@ -188,6 +188,6 @@
     }
 
     fn add(&mut self, path: String, text: String) {
-        self.mistakes.push(Mistake { path, text });
+        self.mistakes.push(ValidationError { path, text });
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,7 +13,7 @@
 mod configuration;
 mod settings;
 
-pub use check::{Mistake, Mistakes, parse_configuration, parse_settings};
+pub use check::{ValidationError, ValidationErrors, parse_configuration, parse_settings};
 pub use configuration::{
     Class, Configuration, Domain, Endpoint, EndpointState, Link, Load, Model, Policy, Pool, Role, Service,
     Site, Team, TeamLimit, TeamUnit,
--- a/crates/standin/src/commands/mod.rs
+++ b/crates/standin/src/commands/mod.rs
@@ -12,7 +12,7 @@
     #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
     #[error("{path}: this cannot be used:\n{mistakes}")]
-    Mistakes { path: String, mistakes: teaselshunt_settings::Mistakes },
+    Mistakes { path: String, mistakes: teaselshunt_settings::ValidationErrors },
     #[error("{0}")]
     Listen(#[from] std::io::Error),
     #[error("{0}")]
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -20,14 +20,14 @@
 
 pub(crate) fn route(state: Arc<State>) -> impl poem::Endpoint {
     Route::new()
-        .at(engine::PREFILL, post(prefill))
-        .at(engine::IMPORT, post(import))
-        .at(format!("{}/:handle", engine::EXPORT), get(export))
-        .at(engine::DECODE, post(decode))
-        .at(engine::CANCEL, post(cancel))
-        .at(engine::LOAD, get(load))
-        .at(engine::CACHE_EVENTS, get(events))
-        .at(engine::ORDERS, post(take_order))
+        .at(engine::PREFILL_PATH, post(prefill))
+        .at(engine::IMPORT_PATH, post(import))
+        .at(format!("{}/:handle", engine::EXPORT_PATH), get(export))
+        .at(engine::DECODE_PATH, post(decode))
+        .at(engine::CANCEL_PATH, post(cancel))
+        .at(engine::LOAD_PATH, get(load))
+        .at(engine::CACHE_EVENTS_PATH, get(events))
+        .at(engine::ORDERS_PATH, post(take_order))
         .at("/faults", post(set_faults))
         .data(state)
 }
@@ -129,7 +129,7 @@
 async fn run_import(state: Arc<State>, request: ImportRequest) -> Option<ImportResponse> {
     let id = request.request_id;
     state.work(Duration::ZERO).await;
-    let url = format!("http://{}{}/{}", request.origin, engine::EXPORT, request.handle);
+    let url = format!("http://{}{}/{}", request.origin, engine::EXPORT_PATH, request.handle);
     let fetched = async { reqwest::get(url).await?.error_for_status()?.json::<Cache>().await };
     let Ok(cache) = fetched.await else {
         state.drop_held(&id);
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use teaselshunt_settings::parse_configuration;
-use teaselshunt_wire::platform::{CONFIGURATION, INSTANCES, Patch, PatchAnswer};
+use teaselshunt_wire::platform::{CONFIGURATION_PATH, INSTANCES_PATH, Patch, PatchResponse};
 use tokio::sync::watch;
 
 use crate::server::Running;
@@ -57,8 +57,8 @@
             calls: Mutex::new(0),
         });
         let route = Route::new()
-            .at(CONFIGURATION, get(read_configuration).post(take_patch))
-            .at(INSTANCES, get(read_instances).post(post_instances))
+            .at(CONFIGURATION_PATH, get(read_configuration).post(take_patch))
+            .at(INSTANCES_PATH, get(read_instances).post(post_instances))
             .at("/outage", poem::post(set_outage))
             .data(Arc::clone(&state));
         let running = Running::start(address, route).await?;
@@ -185,8 +185,8 @@
         true
     });
     match outcome {
-        Ok(_) => Json(PatchAnswer { version, error: None }).into_response(),
-        Err(error) => Json(PatchAnswer { version, error: Some(error) })
+        Ok(_) => Json(PatchResponse { version, error: None }).into_response(),
+        Err(error) => Json(PatchResponse { version, error: Some(error) })
             .with_status(StatusCode::CONFLICT)
             .into_response(),
     }
--- a/crates/teams/benches/admit.rs
+++ b/crates/teams/benches/admit.rs
@@ -8,7 +8,8 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use teaselshunt_teams::{
-    ApiKey, Hearing, KeyDigest, Limit, Quotas, Spending, Start, Team, TeamTag, Teams, Unit, Way,
+    ApiKey, KeyDigest, Limit, QuotaMode, Quotas, StartKind, Team, TeamSpending, TeamTag, Teams, Unit,
+    UpdateHeader,
 };
 
 /// Today's teams, and those of the size in two years.
@@ -29,7 +30,7 @@
 }
 
 fn quotas(count: u32) -> Quotas<u32> {
-    let mut quotas = Quotas::new(Duration::ZERO, Way::Shared, Start::First, (0, 5));
+    let mut quotas = Quotas::new(Duration::ZERO, QuotaMode::Shared, StartKind::First, (0, 5));
     let limit = Limit { rate: 1e12, burst: 1e12 };
     quotas.set_limits(Duration::ZERO, (0..count).map(|team| (TeamTag(team), limit)));
     quotas
@@ -73,15 +74,16 @@
             sequence += 1;
             peer = (peer + 1) % PEERS;
             let now = Duration::from_micros(sequence * 100);
-            let hearing = Hearing { life: 1, sequence, domain: 0, leaving: false, instances: 380 };
-            if quotas.heard(now, peer, hearing) {
-                let spent = (0..5).map(|team| Spending {
+            let hearing =
+                UpdateHeader { incarnation: 1, sequence, domain: 0, draining: false, known_instances: 380 };
+            if quotas.receive_update(now, peer, hearing) {
+                let spent = (0..5).map(|team| TeamSpending {
                     team: TeamTag(team),
                     total: sequence as i64,
                     recent: 10,
                     level: 1000,
                 });
-                quotas.told(now, peer, spent);
+                quotas.merge_spending(now, peer, spent);
             }
         });
     });
--- a/crates/teams/src/directory.rs
+++ b/crates/teams/src/directory.rs
@@ -105,7 +105,7 @@
     }
 
     /// Keys that more than one team names.
-    pub fn shared(&self) -> usize {
+    pub fn shared_keys(&self) -> usize {
         self.shared
     }
 }
--- a/crates/teams/src/key.rs
+++ b/crates/teams/src/key.rs
@@ -37,7 +37,7 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Reads what [`KeyDigest::hex`] writes; `None` for anything else.
+    /// Reads what [`KeyDigest::to_hex`] writes; `None` for anything else.
     pub fn from_hex(text: &str) -> Option<Self> {
         let mut bytes = [0; 32];
         if text.len() != 2 * bytes.len() || !text.is_ascii() {
@@ -51,7 +51,7 @@
     }
 
     /// The digest as hexadecimal digits, for a configuration; it is no secret.
-    pub fn hex(&self) -> String {
+    pub fn to_hex(&self) -> String {
         self.0.iter().fold(String::new(), |mut text, byte| {
             // Writing to a string does not fail.
             let _ = write!(text, "{byte:02x}");
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use directory::{Limit, Team, TeamTag, Teams, Unit};
 pub use key::{ApiKey, KeyDigest};
-pub use quota::{Hearing, Quotas, Shortage, Spending, Start, Way};
+pub use quota::{LimitExceeded, QuotaMode, Quotas, StartKind, TeamSpending, UpdateHeader};
--- a/crates/teams/src/quota.rs
+++ b/crates/teams/src/quota.rs
@@ -2,11 +2,11 @@
 //!
 //! Each instance keeps an account for each team that has a limit: a level that refills with the limit's rate up to its
 //! burst, and from which admitted requests are taken. What the instances' accounts have to do with one another is the
-//! [`Way`]:
+//! [`QuotaMode`]:
 //!
-//! - [`Way::Parts`]: nothing. Each instance admits its part of the limit. Never over it, but callers are spread unevenly, so
+//! - [`QuotaMode::Parts`]: nothing. Each instance admits its part of the limit. Never over it, but callers are spread unevenly, so
 //!   that instances refuse callers of teams that are below their limit, and a small team's part may be less than one request.
-//! - [`Way::Shared`]: each instance tells the others what it has admitted, and takes what others tell from its own level.
+//! - [`QuotaMode::Shared`]: each instance tells the others what it has admitted, and takes what others tell from its own level.
 //!   What others admit is known one telling late, so that a team that floods goes over its limit by what it asks in that
 //!   time, once; the level falls below zero by as much and makes up for it.
 //!
@@ -33,7 +33,7 @@
 use std::time::Duration;
 
 use account::{Account, Silence};
-pub use account::{Shortage, Spending};
+pub use account::{LimitExceeded, TeamSpending};
 
 use crate::directory::{Limit, TeamTag};
 
@@ -56,7 +56,7 @@
 
 /// How the accounts of different instances hang together; the module's head weighs them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum QuotaMode {
     /// Each instance has an equal part of each limit.
     Parts,
     /// Instances tell one another what they admit.
@@ -65,11 +65,11 @@
 
 /// What a starting instance may assume of the time before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Start {
+pub enum StartKind {
     /// The whole system starts for the first time: nothing was admitted.
     First,
     /// Others may have admitted anything.
-    Again,
+    Subsequent,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -104,8 +104,8 @@
 /// machine started, suspended time included: limits go on refilling while an instance stands still.
 #[derive(Debug)]
 pub struct Quotas<P> {
-    way: Way,
-    start: Start,
+    way: QuotaMode,
+    start: StartKind,
     /// When this process began.
     begun: Duration,
     /// Instances that are listed, where a list says so.
@@ -131,7 +131,7 @@
 impl<P: Copy + Eq + Hash> Quotas<P> {
     /// No accounts yet. `domain` is the tag of this instance's failure domain, `domains` how many the deployment has, 0 where
     /// that is not known.
-    pub fn new(now: Duration, way: Way, start: Start, (domain, domains): (u32, u32)) -> Self {
+    pub fn new(now: Duration, way: QuotaMode, start: StartKind, (domain, domains): (u32, u32)) -> Self {
         let (peers, accounts) = (HashMap::new(), HashMap::new());
         Self {
             way,
@@ -169,8 +169,8 @@
 
     fn open(&self, now: Duration, limit: Limit, first: bool) -> Account<P> {
         let knows = match self.start {
-            Start::First => true,
-            Start::Again => !first || now.saturating_sub(self.begun) >= NEWCOMER,
+            StartKind::First => true,
+            StartKind::Subsequent => !first || now.saturating_sub(self.begun) >= NEWCOMER,
         };
         let mut account = Account::new(now, limit);
         if !knows {
@@ -183,7 +183,7 @@
     ///
     /// # Errors
     /// The team is at its limit.
-    pub fn admit(&mut self, now: Duration, team: TeamTag, cost: u64) -> Result<(), Shortage> {
+    pub fn admit(&mut self, now: Duration, team: TeamTag, cost: u64) -> Result<(), LimitExceeded> {
         let Some(account) = self.accounts.get_mut(&team) else { return Ok(()) };
         let heard = f64::from(self.instances) * self.part;
         account.refill(now, self.part);
@@ -191,7 +191,7 @@
     }
 
     /// Gives back what a request was admitted with that surely has not run.
-    pub fn give_back(&mut self, now: Duration, team: TeamTag, cost: u64) {
+    pub fn refund(&mut self, now: Duration, team: TeamTag, cost: u64) {
         let Some(account) = self.accounts.get_mut(&team) else { return };
         account.refill(now, self.part);
         account.give_back(now, cost as f64);
@@ -218,12 +218,12 @@
         self.instances = self.count_instances(now).max(heard);
         let each = 1.0 / f64::from(self.instances);
         let part = match self.way {
-            Way::Parts => each,
-            Way::Shared => f64::from(heard) * each,
+            QuotaMode::Parts => each,
+            QuotaMode::Shared => f64::from(heard) * each,
         };
         for account in self.accounts.values_mut() {
             account.refill(now, self.part);
-            if self.way == Way::Shared {
+            if self.way == QuotaMode::Shared {
                 account.set_aside(&silences, each, part);
             }
             account.note_level(part);
@@ -268,27 +268,27 @@
     fn count_instances(&self, now: Duration) -> u32 {
         let heard = self.peers.values().filter(|peer| !peer.is_silent(now));
         let told = heard.map(|peer| peer.instances).max().unwrap_or(0);
-        let known = self.remembered().max(told).max(self.listed);
-        if self.start == Start::First || now.saturating_sub(self.begun) > ASSUMED {
+        let known = self.known_instances().max(told).max(self.listed);
+        if self.start == StartKind::First || now.saturating_sub(self.begun) > ASSUMED {
             return known;
         }
         let domains: HashSet<u32> =
             self.peers.values().map(|peer| peer.domain).chain([self.domain]).collect();
-        known.max(self.remembered() * self.domains / domains.len() as u32)
+        known.max(self.known_instances() * self.domains / domains.len() as u32)
     }
 
     /// Instances that are remembered here, with this one.
-    pub fn remembered(&self) -> u32 {
+    pub fn known_instances(&self) -> u32 {
         self.peers.values().filter(|peer| !peer.leaving).count() as u32 + 1
     }
 
     /// So many instances there are at least, this one included, heard or not.
-    pub fn expect(&mut self, instances: u32) {
+    pub fn set_listed_instances(&mut self, instances: u32) {
         self.listed = instances;
     }
 
     /// A peer is alive in this life, as others say or as it shows by other means than a telling: most have nothing to tell.
-    pub fn alive(&mut self, now: Duration, peer: P, life: u64) {
+    pub fn observe_alive(&mut self, now: Duration, peer: P, life: u64) {
         let known = self.peers.entry(peer).or_insert(Peer {
             life,
             former: None,
@@ -306,9 +306,15 @@
     }
 
     /// A peer was heard. Says whether its telling is new, so that its spending may be taken over.
-    pub fn heard(&mut self, now: Duration, peer: P, hearing: Hearing) -> bool {
+    pub fn receive_update(&mut self, now: Duration, peer: P, hearing: UpdateHeader) -> bool {
         self.look(now);
-        let Hearing { life, sequence, domain, leaving, instances } = hearing;
+        let UpdateHeader {
+            incarnation: life,
+            sequence,
+            domain,
+            draining: leaving,
+            known_instances: instances,
+        } = hearing;
         let before = self.peers.get(&peer).copied();
         let former = match before {
             Some(known) if known.life == life && known.sequence >= sequence => return false,
@@ -337,9 +343,9 @@
         true
     }
 
-    /// A peer that was [heard](Quotas::heard) tells what it has admitted.
-    pub fn told(&mut self, now: Duration, peer: P, spent: impl IntoIterator<Item = Spending>) {
-        if self.way == Way::Parts {
+    /// Merges what a peer says that it has admitted, after its update was [received](Quotas::receive_update).
+    pub fn merge_spending(&mut self, now: Duration, peer: P, spent: impl IntoIterator<Item = TeamSpending>) {
+        if self.way == QuotaMode::Parts {
             return;
         }
         let newcomer = now.saturating_sub(self.started) < NEWCOMER;
@@ -352,8 +358,8 @@
     }
 
     /// What others are to be told now.
-    pub fn spending(&mut self, now: Duration) -> Vec<Spending> {
-        if self.way == Way::Parts {
+    pub fn team_spending(&mut self, now: Duration) -> Vec<TeamSpending> {
+        if self.way == QuotaMode::Parts {
             return Vec::new();
         }
         let (part, everyone) = (self.part, f64::from(self.instances));
@@ -361,7 +367,7 @@
             account.refill(now, part);
             account.news(now, team, part, everyone)
         });
-        let mut news: Vec<Spending> = news.collect();
+        let mut news: Vec<TeamSpending> = news.collect();
         if news.len() > TELLING_MAX {
             news.sort_by_key(|spending| std::cmp::Reverse(spending.recent));
             news.truncate(TELLING_MAX);
@@ -380,22 +386,22 @@
     }
 
     /// Part of each limit that is divided among those who are heard; 1 unless some have fallen silent.
-    pub fn part(&self) -> f64 {
+    pub fn reachable_share(&self) -> f64 {
         self.part
     }
 }
 
 /// What a telling says of its sender.
 #[derive(Debug, Clone, Copy)]
-pub struct Hearing {
+pub struct UpdateHeader {
     /// Drawn at random at each of its starts.
-    pub life: u64,
-    /// Grows with each telling of that life.
+    pub incarnation: u64,
+    /// Grows with each update of that incarnation.
     pub sequence: u64,
     /// Tag of its failure domain.
     pub domain: u32,
     /// Whether it is about to end.
-    pub leaving: bool,
-    /// [`Quotas::remembered`] of the sender.
-    pub instances: u32,
+    pub draining: bool,
+    /// [`Quotas::known_instances`] of the sender.
+    pub known_instances: u32,
 }
--- a/crates/teams/src/quota/account.rs
+++ b/crates/teams/src/quota/account.rs
@@ -31,7 +31,7 @@
 
 /// What an instance has admitted of a team since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spending {
+pub struct TeamSpending {
     /// The team.
     pub team: TeamTag,
     /// Units in all, less what was given back.
@@ -44,7 +44,7 @@
 
 /// Why a request is not admitted: the team is at its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shortage {
+pub struct LimitExceeded {
     /// Time until the level is enough for the request.
     pub wait: Duration,
     /// Time that the rate needs for everything that was refused lately. Callers who are spread over it come back as fast as
@@ -161,7 +161,13 @@
     }
 
     /// Admits a request after a refill, if the level is enough for it; so many instances are `heard`.
-    pub(super) fn admit(&mut self, now: Duration, cost: f64, part: f64, heard: f64) -> Result<(), Shortage> {
+    pub(super) fn admit(
+        &mut self,
+        now: Duration,
+        cost: f64,
+        part: f64,
+        heard: f64,
+    ) -> Result<(), LimitExceeded> {
         // A request larger than the burst is admitted when the level is full; the debt keeps the rate.
         let need = cost.min(self.limit.burst * part);
         if self.level < need {
@@ -169,7 +175,7 @@
             let rate = (self.limit.rate * part).max(f64::MIN_POSITIVE);
             let refused = self.refused.sum(now) * heard;
             let (wait, backlog) = ((need - self.level) / rate, refused / rate);
-            return Err(Shortage { wait: bounded(wait), backlog: bounded(backlog) });
+            return Err(LimitExceeded { wait: bounded(wait), backlog: bounded(backlog) });
         }
         self.take(cost);
         self.total += cost as i64;
@@ -206,7 +212,7 @@
         team: TeamTag,
         part: f64,
         everyone: f64,
-    ) -> Option<Spending> {
+    ) -> Option<TeamSpending> {
         if self.total == 0 || now.saturating_sub(self.changed) > RETELL {
             return None;
         }
@@ -215,7 +221,7 @@
         let low = self.level < self.limit.burst * part / 2.0;
         let near = low || use_of_all >= self.limit.rate * QUIET;
         let (total, level) = (self.total, self.level as i64);
-        near.then_some(Spending { team, total, recent: recent as u64, level })
+        near.then_some(TeamSpending { team, total, recent: recent as u64, level })
     }
 
     /// Refills for the time since the last time; `part` of the limit is this side's.
@@ -252,7 +258,7 @@
     }
 
     /// A peer tells what it has admitted.
-    pub(super) fn told(&mut self, peer: P, spending: Spending, newcomer: bool) {
+    pub(super) fn told(&mut self, peer: P, spending: TeamSpending, newcomer: bool) {
         let known = self.known.entry(peer).or_default();
         let more = match known.total.replace(spending.total) {
             Some(before) => (spending.total - before) as f64,
--- a/crates/teams/tests/all/directory.rs
+++ b/crates/teams/tests/all/directory.rs
@@ -40,7 +40,7 @@
     let teams = teams(&[("crew", &["a"]), ("office", &["a", "b"])]);
     assert_eq!(holder(&teams, "a").as_deref(), Some("crew"));
     assert_eq!(holder(&teams, "b").as_deref(), Some("office"));
-    assert_eq!(teams.shared(), 1);
+    assert_eq!(teams.shared_keys(), 1);
 }
 
 #[test]
--- a/crates/teams/tests/all/quota.rs
+++ b/crates/teams/tests/all/quota.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselshunt_teams::{Hearing, Limit, Quotas, Spending, Start, TeamTag, Way};
+use teaselshunt_teams::{Limit, QuotaMode, Quotas, StartKind, TeamSpending, TeamTag, UpdateHeader};
 
 const TEAM: TeamTag = TeamTag(7);
 const LIMIT: Limit = Limit { rate: 1000.0, burst: 1000.0 };
@@ -13,14 +13,14 @@
     Duration::from_secs(number)
 }
 
-fn quotas(way: Way, start: Start, domains: (u32, u32)) -> Quotas<usize> {
+fn quotas(way: QuotaMode, start: StartKind, domains: (u32, u32)) -> Quotas<usize> {
     let mut quotas = Quotas::new(seconds(100), way, start, domains);
     quotas.set_limits(seconds(100), [(TEAM, LIMIT)]);
     quotas
 }
 
-fn alone(way: Way) -> Quotas<usize> {
-    quotas(way, Start::First, (0, 1))
+fn alone(way: QuotaMode) -> Quotas<usize> {
+    quotas(way, StartKind::First, (0, 1))
 }
 
 /// Waits until an instance counts what peers tell of the time before it heard them.
@@ -61,9 +61,9 @@
 }
 
 impl Fleet {
-    fn new(way: Way, count: usize) -> Self {
+    fn new(way: QuotaMode, count: usize) -> Self {
         let member = |n: usize| Member {
-            quotas: quotas(way, Start::First, (n as u32 % 2, 2)),
+            quotas: quotas(way, StartKind::First, (n as u32 % 2, 2)),
             life: n as u64,
             sequence: 0,
             side: 0,
@@ -88,13 +88,19 @@
             sender.quotas.tick(now);
             sender.sequence += 1;
             let (life, sequence, side, domain) = (sender.life, sender.sequence, sender.side, sender.domain);
-            let instances = sender.quotas.remembered();
-            let (leaving, spent) = (sender.leaving, sender.quotas.spending(now));
+            let instances = sender.quotas.known_instances();
+            let (leaving, spent) = (sender.leaving, sender.quotas.team_spending(now));
             for (to, hearer) in self.members.iter_mut().enumerate() {
                 if to != from && !hearer.down && hearer.side == side {
-                    let hearing = Hearing { life, sequence, domain, leaving, instances };
-                    if hearer.quotas.heard(now, from, hearing) {
-                        hearer.quotas.told(now, from, spent.iter().copied());
+                    let hearing = UpdateHeader {
+                        incarnation: life,
+                        sequence,
+                        domain,
+                        draining: leaving,
+                        known_instances: instances,
+                    };
+                    if hearer.quotas.receive_update(now, from, hearing) {
+                        hearer.quotas.merge_spending(now, from, spent.iter().copied());
                     }
                 }
             }
@@ -133,7 +139,7 @@
     fn restart(&mut self, member: usize) {
         let life = self.members[member].life + 1000;
         let Member { side, domain, .. } = self.members[member];
-        let mut fresh = Quotas::new(self.now, Way::Shared, Start::Again, (domain, 2));
+        let mut fresh = Quotas::new(self.now, QuotaMode::Shared, StartKind::Subsequent, (domain, 2));
         fresh.set_limits(self.now, [(TEAM, LIMIT)]);
         self.members[member] =
             Member { quotas: fresh, life, sequence: 0, side, domain, down: false, leaving: false };
@@ -147,14 +153,14 @@
 
 #[test]
 fn a_team_without_a_limit_is_always_admitted() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     assert!((0..100_000).all(|_| quotas.admit(seconds(100), TeamTag(8), 1000).is_ok()));
     assert_eq!(quotas.level(TeamTag(8)), None);
 }
 
 #[test]
 fn a_burst_is_admitted_at_once_and_then_the_rate() {
-    for way in [Way::Parts, Way::Shared] {
+    for way in [QuotaMode::Parts, QuotaMode::Shared] {
         let mut quotas = alone(way);
         assert_eq!(admitted(&mut quotas, seconds(100), 100), 10);
         assert_eq!(admitted(&mut quotas, seconds(100) + Duration::from_millis(500), 100), 5);
@@ -165,7 +171,7 @@
 /// to make up for it; were it refused, it would be for ever.
 #[test]
 fn a_request_larger_than_the_burst_is_admitted_in_its_turn() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     assert!(quotas.admit(seconds(100), TEAM, 2500).is_ok());
     let shortage = quotas.admit(seconds(100), TEAM, 100).unwrap_err();
     assert_eq!(shortage.wait, Duration::from_millis(1600));
@@ -177,7 +183,7 @@
 /// refused with it share out the time that the rate needs for all of them.
 #[test]
 fn a_refusal_tells_when_there_is_room() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     admitted(&mut quotas, seconds(100), 100);
     let first = quotas.admit(seconds(100), TEAM, 200).unwrap_err();
     assert_eq!(first.wait, Duration::from_millis(200));
@@ -188,15 +194,15 @@
 
 #[test]
 fn what_has_not_run_is_given_back() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     admitted(&mut quotas, seconds(100), 100);
-    quotas.give_back(seconds(100), TEAM, 300);
+    quotas.refund(seconds(100), TEAM, 300);
     assert_eq!(admitted(&mut quotas, seconds(100), 100), 3);
 }
 
 #[test]
 fn a_raised_burst_counts_at_once_and_a_lowered_limit_too() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     admitted(&mut quotas, seconds(100), 100);
     quotas.set_limits(seconds(100), [(TEAM, Limit { rate: 1000.0, burst: 1500.0 })]);
     assert_eq!(admitted(&mut quotas, seconds(100), 100), 5);
@@ -209,7 +215,7 @@
 /// admitted too much, once; then the rate holds.
 #[test]
 fn a_flood_through_all_instances_gets_the_rate() {
-    let mut fleet = Fleet::new(Way::Shared, 10);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 10);
     let flood: Vec<_> = (0..10).map(|n| (n, 900.0)).collect();
     let units = fleet.run(seconds(8), &flood) as f64;
     let limit = rate_for(seconds(8)) + LIMIT.burst;
@@ -223,10 +229,10 @@
 /// nothing where the account is shared; with an equal part for each instance it would get a tenth.
 #[test]
 fn a_team_below_its_limit_is_admitted_through_one_instance() {
-    let mut fleet = Fleet::new(Way::Shared, 10);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 10);
     let units = fleet.run(seconds(10), &[(3, 950.0)]) as f64;
     assert!(units >= 9400.0, "{units}");
-    let mut fleet = Fleet::new(Way::Parts, 10);
+    let mut fleet = Fleet::new(QuotaMode::Parts, 10);
     let units = fleet.run(seconds(10), &[(3, 950.0)]) as f64;
     assert!(units < 2000.0, "{units}");
 }
@@ -235,7 +241,7 @@
 /// remembers, and admits the part of those that it hears: together they admit one limit and not two.
 #[test]
 fn both_sides_of_a_cut_together_keep_to_the_limit() {
-    let mut fleet = Fleet::new(Way::Shared, 8);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 8);
     let flood: Vec<_> = (0..8).map(|n| (n, 900.0)).collect();
     fleet.run(seconds(4), &flood);
     for member in &mut fleet.members[..2] {
@@ -260,7 +266,7 @@
 /// it hears only, its side would admit all of it, beside what the other side admits.
 #[test]
 fn an_instance_that_starts_inside_a_cut_keeps_to_its_sides_part() {
-    let mut fleet = Fleet::new(Way::Shared, 8);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 8);
     let flood: Vec<_> = (0..8).map(|n| (n, 900.0)).collect();
     // By failure domains: even numbers are one.
     for (n, member) in fleet.members.iter_mut().enumerate() {
@@ -280,7 +286,7 @@
 /// accounts begin with a part of the burst, and not with a new one each time.
 #[test]
 fn restarts_of_all_instances_do_not_multiply_the_burst() {
-    let mut fleet = Fleet::new(Way::Shared, 6);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 6);
     let flood: Vec<_> = (0..6).map(|n| (n, 830.0)).collect();
     let before = fleet.run(seconds(7), &flood) as f64;
     for n in 0..6 {
@@ -295,7 +301,7 @@
 /// instance or the others.
 #[test]
 fn a_restarted_instance_does_not_pay_for_what_it_missed() {
-    let mut fleet = Fleet::new(Way::Shared, 10);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 10);
     let usual: Vec<_> = (0..10).map(|n| (n, 60.0)).collect();
     fleet.run(seconds(5), &usual);
     fleet.restart(4);
@@ -306,7 +312,7 @@
 /// Instances that say that they end are no reason to set anything aside for them.
 #[test]
 fn nothing_is_set_aside_for_instances_that_have_said_that_they_end() {
-    let mut fleet = Fleet::new(Way::Shared, 4);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 4);
     for n in [0, 1] {
         fleet.members[n].leaving = true;
     }
@@ -323,12 +329,13 @@
 /// taken into account a second time.
 #[test]
 fn doubled_and_late_tellings_change_nothing() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     let now = pass_newcomer(&mut quotas);
     let mut hear = |life, sequence, total, recent| {
-        let hearing = Hearing { life, sequence, domain: 0, leaving: false, instances: 2 };
-        if quotas.heard(now, 1, hearing) {
-            quotas.told(now, 1, [Spending { team: TEAM, total, recent, level: 1000 }]);
+        let hearing =
+            UpdateHeader { incarnation: life, sequence, domain: 0, draining: false, known_instances: 2 };
+        if quotas.receive_update(now, 1, hearing) {
+            quotas.merge_spending(now, 1, [TeamSpending { team: TEAM, total, recent, level: 1000 }]);
         }
         quotas.level(TEAM).unwrap()
     };
@@ -344,27 +351,28 @@
 /// Of a team that is far from its limit nothing is told, and of one that is near, all.
 #[test]
 fn only_teams_near_their_limits_are_told_of() {
-    let mut quotas = alone(Way::Shared);
+    let mut quotas = alone(QuotaMode::Shared);
     let now = seconds(110);
     quotas.admit(now, TEAM, 20).unwrap();
-    assert!(quotas.spending(now).is_empty());
+    assert!(quotas.team_spending(now).is_empty());
     quotas.admit(now, TEAM, 700).unwrap();
-    let told = quotas.spending(now);
-    assert_eq!(told, [Spending { team: TEAM, total: 720, recent: 720, level: 280 }]);
-    assert!(quotas.spending(now + seconds(5)).is_empty(), "a change is told for a while only");
+    let told = quotas.team_spending(now);
+    assert_eq!(told, [TeamSpending { team: TEAM, total: 720, recent: 720, level: 280 }]);
+    assert!(quotas.team_spending(now + seconds(5)).is_empty(), "a change is told for a while only");
 }
 
 /// A machine stands still for seconds and wakes. Limits went on refilling meanwhile and others went on admitting; the two
 /// cancel out, and callers of a team below its limit are not refused.
 #[test]
 fn an_instance_that_wakes_does_not_refuse_for_what_it_slept_through() {
-    let mut quotas = alone(Way::Shared);
-    let hearing = |sequence| Hearing { life: 1, sequence, domain: 0, leaving: false, instances: 2 };
-    let total = |total| [Spending { team: TEAM, total, recent: 500, level: 1000 }];
-    assert!(quotas.heard(seconds(110), 1, hearing(1)));
-    quotas.told(seconds(110), 1, total(1000));
-    assert!(quotas.heard(seconds(118), 1, hearing(2)));
-    quotas.told(seconds(118), 1, total(1000 + 8 * 500));
+    let mut quotas = alone(QuotaMode::Shared);
+    let hearing =
+        |sequence| UpdateHeader { incarnation: 1, sequence, domain: 0, draining: false, known_instances: 2 };
+    let total = |total| [TeamSpending { team: TEAM, total, recent: 500, level: 1000 }];
+    assert!(quotas.receive_update(seconds(110), 1, hearing(1)));
+    quotas.merge_spending(seconds(110), 1, total(1000));
+    assert!(quotas.receive_update(seconds(118), 1, hearing(2)));
+    quotas.merge_spending(seconds(118), 1, total(1000 + 8 * 500));
     assert!(quotas.admit(seconds(119), TEAM, 500).is_ok(), "level {:?}", quotas.level(TEAM));
 }
 
@@ -372,7 +380,7 @@
 /// domains that it has not heard to be as large as its own: together they must admit one limit and not two.
 #[test]
 fn both_sides_that_start_again_inside_a_cut_keep_to_the_limit() {
-    let mut fleet = Fleet::new(Way::Shared, 4);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 4);
     fleet.cut_by_domain();
     for member in 0..4 {
         fleet.restart(member);
@@ -385,7 +393,7 @@
 /// side forgot the other one then and admitted the whole limit.
 #[test]
 fn a_cut_of_over_ten_minutes_keeps_to_the_limit() {
-    let mut fleet = Fleet::new(Way::Shared, 4);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 4);
     fleet.cut_by_domain();
     let units = flood_after(&mut fleet, seconds(11 * 60));
     assert!(units <= bound(FLOOD), "{units}");
@@ -394,7 +402,7 @@
 /// A cut of over ten minutes heals. Those who are heard first must not have the others of their failure domain forgotten.
 #[test]
 fn the_end_of_a_long_cut_keeps_to_the_limit() {
-    let mut fleet = Fleet::new(Way::Shared, 8);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 8);
     fleet.cut_by_domain();
     fleet.run(seconds(11 * 60), &[]);
     for member in [0, 1] {
@@ -408,7 +416,7 @@
 /// admitted anything.
 #[test]
 fn replaced_instances_leave_no_shares_behind() {
-    let mut fleet = Fleet::new(Way::Shared, 8);
+    let mut fleet = Fleet::new(QuotaMode::Shared, 8);
     for gone in [4, 5, 6, 7] {
         fleet.members[gone].down = true;
     }
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -6,21 +6,21 @@
 use teaselshunt_settings::{Load, Role};
 
 /// Path of a prefill.
-pub const PREFILL: &str = "/v1/prefill";
+pub const PREFILL_PATH: &str = "/v1/prefill";
 /// Path of a KV import into a decode engine.
-pub const IMPORT: &str = "/v1/kv/import";
+pub const IMPORT_PATH: &str = "/v1/kv/import";
 /// Path prefix of a KV export; the handle follows.
-pub const EXPORT: &str = "/v1/kv";
+pub const EXPORT_PATH: &str = "/v1/kv";
 /// Path of a decode stream.
-pub const DECODE: &str = "/v1/decode";
+pub const DECODE_PATH: &str = "/v1/decode";
 /// Path of a cancel.
-pub const CANCEL: &str = "/v1/cancel";
+pub const CANCEL_PATH: &str = "/v1/cancel";
 /// Path of the load report.
-pub const LOAD: &str = "/v1/load";
+pub const LOAD_PATH: &str = "/v1/load";
 /// Path of the cache events.
-pub const CACHE_EVENTS: &str = "/v1/cache/events";
+pub const CACHE_EVENTS_PATH: &str = "/v1/cache/events";
 /// Path of an order.
-pub const ORDERS: &str = "/v1/orders";
+pub const ORDERS_PATH: &str = "/v1/orders";
 
 /// Asks for a prefill.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -3,12 +3,12 @@
 use teaselshunt_core::Message;
 
 /// Largest message; a configuration of a megabyte and its envelope fit.
-pub const MESSAGE_MAX: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Bytes from a peer that are not a message.
 #[derive(Debug, thiserror::Error)]
 #[error("not a message of this protocol: {0}")]
-pub struct Garbled(#[from] postcard::Error);
+pub struct DecodeError(#[from] postcard::Error);
 
 /// Encodes a message.
 ///
@@ -22,6 +22,6 @@
 ///
 /// # Errors
 /// The bytes are not a message.
-pub fn decode(bytes: &[u8]) -> Result<Message, Garbled> {
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     Ok(postcard::from_bytes(bytes)?)
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -4,9 +4,9 @@
 use serde_json::Value;
 
 /// Path of the configuration; `?after=VERSION&wait_ms=N` waits for a later version.
-pub const CONFIGURATION: &str = "/configuration";
+pub const CONFIGURATION_PATH: &str = "/configuration";
 /// Path of the list of instances; `?after=REVISION&wait_ms=N` waits for a later one.
-pub const INSTANCES: &str = "/instances";
+pub const INSTANCES_PATH: &str = "/instances";
 
 /// An operator's patch; operators send it to the platform, the system never does.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
 
 /// The platform's answer to a patch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PatchAnswer {
+pub struct PatchResponse {
     /// Version published now: the new one, or the one that the patch should have been made against.
     pub version: u64,
     /// Why the patch was refused, if it was.
