--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use teaselshunt_teams::Spending;
+use teaselshunt_teams::TeamSpending;
 
 use crate::quarantine::CrashReport;
 use crate::{
@@ -172,7 +172,7 @@
     /// Whether the sender is stopping.
     pub stopping: bool,
     /// The teams.
-    pub spent: Vec<Spending>,
+    pub spent: Vec<TeamSpending>,
 }
 
 /// What a request needs of its pool.
