--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -14,7 +14,7 @@
 use teaselshunt_teams::{KeyDigest, Shortage, Team, TeamTag};
 
 use crate::node::Node;
-use crate::protocol::Meta;
+use crate::protocol::RequestMeta;
 use crate::trace::Trace;
 
 /// The team of a caller with this key; `None` where a route needs none.
@@ -69,14 +69,14 @@
 pub(crate) fn charge(
     node: &Rc<Node>,
     team: Option<&Team>,
-    meta: &Meta,
+    meta: &RequestMeta,
     trace: &Trace,
 ) -> Result<Charge, Refusal> {
     let sends = Cell::new(0);
     let Some(team) = team.filter(|team| team.limit.is_some()) else {
         return Ok(Charge { team: None, cost: 0, sends });
     };
-    let cost = team.cost(meta.sized.then_some(meta.prompt + meta.output));
+    let cost = team.cost(meta.has_token_count.then_some(meta.prompt_tokens + meta.max_output_tokens));
     let state = &mut *node.state.borrow_mut();
     let tag = team.tag();
     match state.quotas.admit(node.clock.uptime(), tag, cost) {
--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::{Notify, mpsc};
 
-use crate::holding::Holding;
+use crate::buffering::BufferedBytes;
 
 /// The answer cannot be completed; the caller's connection is closed so that it does not look whole.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
@@ -41,7 +41,7 @@
     }
 
     /// One that is at hand.
-    pub(crate) fn whole(rest: Bytes, holding: Option<Holding>) -> Self {
+    pub(crate) fn whole(rest: Bytes, holding: Option<BufferedBytes>) -> Self {
         Self { content: Content::Whole(Whole { rest, _holding: holding }), unread: None }
     }
 
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 struct Whole {
     rest: Bytes,
-    _holding: Option<Holding>,
+    _holding: Option<BufferedBytes>,
 }
 
 impl Whole {
@@ -136,7 +136,7 @@
 #[derive(Debug)]
 struct Piece {
     data: Bytes,
-    _holding: Option<Holding>,
+    _holding: Option<BufferedBytes>,
 }
 
 /// Pieces that may wait for a slow caller.
@@ -156,7 +156,7 @@
 impl Pieces {
     /// Passes a piece on as soon as there is room for it. Where the account of this instance has none, the caller must
     /// have taken all that came before.
-    pub(crate) async fn send(&self, data: Bytes, mut holding: Holding) -> Result<(), Gone> {
+    pub(crate) async fn send(&self, data: Bytes, mut holding: BufferedBytes) -> Result<(), Gone> {
         if holding.grow(data.len()).is_err() {
             drop(self.sender.reserve_many(WAITING).await.map_err(|_| Gone)?);
         }
--- a/crates/forward/src/holding.rs
+++ b/crates/forward/src/buffering.rs
@@ -20,13 +20,13 @@
 
 /// Room for bytes; dropping it gives it back.
 #[derive(Debug)]
-pub(crate) struct Holding {
+pub(crate) struct BufferedBytes {
     node: Rc<Node>,
     held: Held,
     bytes: u64,
 }
 
-impl Holding {
+impl BufferedBytes {
     /// Room for nothing yet.
     pub(crate) fn new(node: &Rc<Node>, held: Held) -> Self {
         Self { node: Rc::clone(node), held, bytes: 0 }
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Holding {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
         self.node.state.borrow_mut().memory.give_back(self.bytes);
     }
--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -15,10 +15,10 @@
 //! The store may come back from a copy that is some seconds old, in a new [`Era`]. Its revisions then stand for other changes
 //! than before, so that it is read whole again; what was seen meanwhile (versions, endpoints that leave) stays seen.
 
-mod copies;
-mod giving;
 mod listing;
-mod sharing;
+mod snapshot_server;
+mod snapshots;
+mod store_updates;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -35,14 +35,14 @@
 use teaselshunt_teams::Teams;
 use tokio::sync::{Notify, mpsc};
 
+use crate::connection_pool::Failure;
 use crate::node::Node;
 use crate::orders;
-use crate::pool::Failure;
-use crate::protocol::{Batch, Call, News};
-use copies::Copied;
-pub(crate) use giving::give_copies;
+use crate::protocol::{Batch, Call, StoreChange};
 use listing::Reading;
-pub(crate) use sharing::Telling;
+pub(crate) use snapshot_server::give_copies;
+use snapshots::Copied;
+pub(crate) use store_updates::Telling;
 
 /// How long a call may take beyond its wait: the store's slowest answers that are still of use.
 const SLACK: Duration = Duration::from_millis(900);
@@ -160,7 +160,7 @@
             lapses: Cell::new(None),
             absence: Cell::new(started),
             source: Cell::default(),
-            freshness: Cell::new(Freshness::new(settings.apply.min(settings.drain))),
+            freshness: Cell::new(Freshness::new(settings.apply_bound.min(settings.drain_bound))),
             pulse: Cell::new(Pulse::new(node.clock.uptime())),
             woken: Notify::new(),
             ask: Cell::default(),
@@ -211,7 +211,7 @@
     /// would all others. Callers come when endpoints are there.
     fn settles(&self) -> bool {
         let settings = &self.node.settings;
-        let shares = settings.first && settings.peers.is_some() && !self.orders;
+        let shares = settings.first_start && settings.gossip_port.is_some() && !self.orders;
         let passed = self.node.now().duration_since(self.started);
         shares && !self.source.get().is_settled(passed, self.node.peers.get())
     }
@@ -254,7 +254,7 @@
         time: Duration,
     ) -> Result<(StatusCode, bytes::Bytes), StoreError> {
         let until = self.node.now() + time;
-        let result = self.node.call_in_full(self.node.settings.store, call, until).await;
+        let result = self.node.call_in_full(self.node.settings.store_address, call, until).await;
         let outcome = outcome(result.as_ref().map(|(head, _)| head.status));
         self.node.metrics.store.with_label_values(&[name, outcome]).inc();
         let (head, body) = result.map_err(StoreError::Exchange)?;
@@ -323,10 +323,10 @@
         if reached > known || known == revision {
             self.revision.set(Some(reached));
             // Where hundreds of changes come at once the store has cut its answer off, and more wait already.
-            let coalesces = (1..BULK).contains(&batch.news.len());
+            let coalesces = (1..BULK).contains(&batch.changes.len());
             // Of a gap the others hear from whoever told of what lies behind it.
             if source != Source::Alone && !gap {
-                self.tell((revision, reached), &batch.news);
+                self.tell((revision, reached), &batch.changes);
             }
             self.apply(batch);
             if coalesces && source != Source::Peers {
@@ -339,9 +339,9 @@
     /// How long a watch waits while the store is well.
     fn usual_wait(&self, source: Source) -> Duration {
         let settings = &self.node.settings;
-        let shortest = settings.apply.min(settings.drain);
+        let shortest = settings.apply_bound.min(settings.drain_bound);
         match source {
-            Source::Alone => (settings.settle + shortest).mul_f64(WAIT_PART),
+            Source::Alone => (settings.recovery_bound + shortest).mul_f64(WAIT_PART),
             Source::Reader => shortest.mul_f64(READER_WAIT_PART),
             Source::Peers => Duration::ZERO,
         }
@@ -350,7 +350,7 @@
     /// How long to wait after a change for others to gather.
     fn coalescing(&self) -> Duration {
         let settings = &self.node.settings;
-        let pause = settings.apply.min(settings.drain).mul_f64(COALESCE_PART);
+        let pause = settings.apply_bound.min(settings.drain_bound).mul_f64(COALESCE_PART);
         let filling = self.orders && self.node.now().duration_since(self.started) < FILLING;
         if filling { FILLING_COALESCE.min(pause) } else { pause }
     }
@@ -367,20 +367,20 @@
     }
 
     fn apply(&self, batch: Batch) {
-        for news in batch.news {
+        for news in batch.changes {
             self.apply_news(news, batch.revision);
         }
         self.count_endpoints();
     }
 
-    fn apply_news(&self, news: News, revision: u64) {
+    fn apply_news(&self, news: StoreChange, revision: u64) {
         match news {
-            News::Routes(routes) => self.apply_routes(routes),
-            News::Endpoint(endpoint) => {
+            StoreChange::Routes(routes) => self.apply_routes(routes),
+            StoreChange::Endpoint(endpoint) => {
                 self.apply_endpoint(endpoint, revision);
             }
-            News::Gone(id) => self.lose(&id, revision),
-            News::Invalid { key, endpoint, cause } => {
+            StoreChange::Removed(id) => self.lose(&id, revision),
+            StoreChange::Invalid { key, endpoint, cause } => {
                 let withdraw = |id: &Arc<str>| self.node.state.borrow_mut().endpoints.withdraw(id);
                 let withdrawn = endpoint.as_ref().is_some_and(withdraw);
                 if let Some(id) = endpoint.filter(|_| withdrawn) {
@@ -447,7 +447,7 @@
         if lapsed {
             // Not from now on: the store may have said so for as long as nothing else was heard of it, and an endpoint that
             // has left gets nothing new for longer than the deployment allows.
-            let until = self.absence.get() + self.node.settings.drain.mul_f64(DOUBT_PART);
+            let until = self.absence.get() + self.node.settings.drain_bound.mul_f64(DOUBT_PART);
             state.endpoints.doubt(id, until);
         } else {
             state.endpoints.remove(id);
--- a/crates/forward/src/catalog/listing.rs
+++ b/crates/forward/src/catalog/listing.rs
@@ -8,9 +8,9 @@
 use slog::info;
 use teaselshunt_routing::Passage;
 
-use super::copies::Copied;
+use super::snapshots::Copied;
 use super::{Catalog, StoreError};
-use crate::protocol::{Batch, News};
+use crate::protocol::{Batch, StoreChange};
 
 /// Longest time for a page of the list.
 const PAGE: Duration = Duration::from_millis(1500);
@@ -102,17 +102,19 @@
         let reading = &mut *self.reading.borrow_mut();
         // Pages are no snapshot: what changes behind the first page's revision is found by the watch.
         let revision = *reading.revision.get_or_insert(batch.revision);
-        for news in &batch.news {
+        for news in &batch.changes {
             match news {
-                News::Endpoint(endpoint) => reading.present.insert(Arc::clone(&endpoint.id)),
-                News::Invalid { endpoint: Some(id), .. } => reading.present.insert(Arc::clone(id)),
-                News::Routes(_) | News::Gone(_) | News::Invalid { endpoint: None, .. } => continue,
+                StoreChange::Endpoint(endpoint) => reading.present.insert(Arc::clone(&endpoint.id)),
+                StoreChange::Invalid { endpoint: Some(id), .. } => reading.present.insert(Arc::clone(id)),
+                StoreChange::Routes(_)
+                | StoreChange::Removed(_)
+                | StoreChange::Invalid { endpoint: None, .. } => continue,
             };
         }
-        reading.after.clone_from(&batch.more);
-        for news in batch.news {
+        reading.after.clone_from(&batch.next_key);
+        for news in batch.changes {
             match news {
-                News::Endpoint(endpoint) => {
+                StoreChange::Endpoint(endpoint) => {
                     reading.changed += usize::from(self.apply_endpoint(endpoint, batch.revision));
                 }
                 news => self.apply_news(news, batch.revision),
--- a/crates/forward/src/catalog/giving.rs
+++ b/crates/forward/src/catalog/snapshot_server.rs
@@ -18,8 +18,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::Catalog;
-use super::copies::{COPY, PATH};
-use crate::listen::accept;
+use super::snapshots::{COPY, PATH};
+use crate::accept::accept;
 use crate::node::Node;
 
 /// Copies that are given at a time; one takes a part of a second on a slow link, and whoever has one gives it on.
@@ -29,7 +29,7 @@
 
 /// Gives copies to peers for as long as the process runs.
 pub(crate) async fn give_copies(catalog: Rc<Catalog>, node: Rc<Node>, port: u16) {
-    let own = SocketAddr::new(node.settings.callers.ip(), port);
+    let own = SocketAddr::new(node.settings.callers_address.ip(), port);
     let listener = match TcpListener::bind(own).await {
         Ok(listener) => listener,
         Err(error) => {
--- a/crates/forward/src/catalog/copies.rs
+++ b/crates/forward/src/catalog/snapshots.rs
@@ -24,9 +24,9 @@
     Endpoint, EndpointState, Era, Listing, Passage, RouteSet, Search, Stage, Supply, tag,
 };
 
-use super::sharing::{millis, told};
+use super::store_updates::{millis, told};
 use super::{Catalog, GAP_SPREAD, outcome};
-use crate::pool::Failure;
+use crate::connection_pool::Failure;
 use crate::protocol::Call;
 
 /// Longest time for a copy to arrive.
@@ -154,7 +154,7 @@
     /// Copies the list from a peer that has a later one than `beyond`. Looks for one for as long as knowledge may go
     /// unconfirmed; where only a `gap` is to be filled and nobody has it, for a moment.
     pub(super) async fn copy(&self, beyond: Option<u64>, gap: bool) -> Copied {
-        if self.node.settings.peers.is_none() {
+        if self.node.settings.gossip_port.is_none() {
             return Copied::Nowhere;
         }
         let begun = self.node.clock.uptime();
--- a/crates/forward/src/catalog/sharing.rs
+++ b/crates/forward/src/catalog/store_updates.rs
@@ -11,7 +11,7 @@
 use teaselshunt_routing::{Ask, Era, Passage, Source, Word};
 
 use super::{Catalog, RETURN};
-use crate::protocol::{Batch, News};
+use crate::protocol::{Batch, StoreChange};
 
 /// Part of the time for which an instance believes what it was told, by which it asks sooner, at random: the first one that
 /// asks tells the others.
@@ -83,7 +83,7 @@
             Passage::Older => return,
         }
         self.holders.borrow_mut().told(from, Era::told(era), Some(revision));
-        let mut news: Option<Vec<News>> = match news.as_deref().map(postcard::from_bytes).transpose() {
+        let mut news: Option<Vec<StoreChange>> = match news.as_deref().map(postcard::from_bytes).transpose() {
             Ok(news) => news,
             Err(error) => {
                 warn!(self.node.log, "unreadable telling"; "revision" => revision, "error" => %error);
@@ -99,7 +99,7 @@
             Word::Confirmed => {}
             Word::Changes => {
                 self.revision.set(Some(revision));
-                self.apply(Batch { news: news.unwrap_or_default(), revision, more: None });
+                self.apply(Batch { changes: news.unwrap_or_default(), revision, next_key: None });
             }
             Word::Gap => return self.ask(revision),
         }
@@ -116,10 +116,10 @@
 
     /// Applies a configuration at once, whatever else is missing here: a version replaces only a lower one, and binds
     /// within seconds.
-    fn take_routes(&self, news: Option<&mut Vec<News>>) {
+    fn take_routes(&self, news: Option<&mut Vec<StoreChange>>) {
         let Some(news) = news else { return };
         news.retain(|piece| {
-            let News::Routes(routes) = piece else { return true };
+            let StoreChange::Routes(routes) = piece else { return true };
             self.apply_routes(Arc::clone(routes));
             false
         });
@@ -129,7 +129,7 @@
     pub(super) fn tell_routes(&self) {
         let routes = self.node.state.borrow().routes.clone();
         if let (Source::Reader, Some(lost), Some(routes)) = (self.source.get(), self.lost.get(), routes) {
-            self.tell((lost, lost), &[News::Routes(routes)]);
+            self.tell((lost, lost), &[StoreChange::Routes(routes)]);
         }
     }
 
@@ -151,7 +151,7 @@
 
     /// Tells peers what the store answered. One telling that is lost is made good by the next, or by what the peers ask
     /// themselves.
-    pub(super) fn tell(&self, (after, revision): (u64, u64), news: &[News]) {
+    pub(super) fn tell(&self, (after, revision): (u64, u64), news: &[StoreChange]) {
         let news = postcard::to_allocvec(news).ok().filter(|news| news.len() <= TELLING_MAX);
         self.tell_news((after, revision), news);
     }
--- a/crates/forward/src/pool.rs
+++ b/crates/forward/src/connection_pool.rs
@@ -77,13 +77,13 @@
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
-pub(crate) struct Pool {
+pub(crate) struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     /// Most idle connections to one address, if fewer than [`IDLE`].
     most: Cell<Option<usize>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Sends a request and waits for the head of its answer.
     pub(crate) async fn exchange(
         &self,
--- a/crates/forward/src/generate.rs
+++ b/crates/forward/src/generate.rs
@@ -21,7 +21,7 @@
 use crate::node::{Answer, Job, Node, Slot, StepFailure};
 use crate::protocol::Purpose;
 use crate::refusals::refuse;
-use crate::rooms::{PromptState, Room, Search, reserve};
+use crate::reservations::{PromptState, Reservation, Search, reserve};
 use crate::stream::{self, Events, Source};
 use crate::trace::Trace;
 
@@ -85,7 +85,7 @@
 impl Drop for Cache {
     fn drop(&mut self) {
         if let Some(handle) = self.handle.take() {
-            let call = self.node.protocol.discard(&handle);
+            let call = self.node.protocol.free_kv_cache(&handle);
             tidy(&self.node, self.address, call);
         }
     }
@@ -197,7 +197,7 @@
 async fn prefill(node: &Rc<Node>, job: &Job, trace: &Trace, sends: &mut Sends) -> Result<Prompt, Refusal> {
     let mut tried = Vec::new();
     for _ in 0..ROUNDS {
-        let tokens = job.meta.prompt;
+        let tokens = job.meta.prompt_tokens;
         let chosen = node.choose_prefill(&job.service.name, &tried, tokens);
         let Some(key) = chosen else { break };
         let Some((address, id)) = node.locate(key) else { continue };
@@ -243,16 +243,16 @@
         return Err(StepFailure::Broken);
     }
     let body = node.read(answer.response.into_body(), answer.connection, until).await?;
-    node.protocol.read_prefilled(&body).ok_or(StepFailure::Broken)
+    node.protocol.read_kv_handle(&body).ok_or(StepFailure::Broken)
 }
 
-async fn decode(node: &Node, job: &Job, room: &Room, prompt: &Prompt) -> Result<Answer, StepFailure> {
-    let hold = room.hold.as_deref();
+async fn decode(node: &Node, job: &Job, room: &Reservation, prompt: &Prompt) -> Result<Answer, StepFailure> {
+    let reservation = room.hold.as_deref();
     let purpose = match prompt {
         Prompt::Read(Cache { address, handle: Some(handle), .. }) => {
-            Purpose::Decode { source: *address, handle, hold }
+            Purpose::Decode { source: *address, handle, reservation }
         }
-        Prompt::Read(_) | Prompt::Unread | Prompt::ByDecode => Purpose::Whole { hold },
+        Prompt::Read(_) | Prompt::Unread | Prompt::ByDecode => Purpose::PrefillAndDecode { reservation },
     };
     let slot = room.slot.as_ref().expect("a room has its slot until a run begins");
     node.send(job, slot, purpose, node.now() + FIRST).await
--- a/crates/forward/src/peers.rs
+++ b/crates/forward/src/gossip.rs
@@ -100,7 +100,7 @@
     port: u16,
     mut tellings: mpsc::Receiver<Telling>,
 ) {
-    let own = SocketAddr::new(node.settings.callers.ip(), port);
+    let own = SocketAddr::new(node.settings.callers_address.ip(), port);
     let socket = match UdpSocket::bind(own).await {
         Ok(socket) => socket,
         Err(error) => {
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,10 +1,10 @@
 //! Passes callers' requests on whole, to plain services and to prefill and decode engines, on a platform that is met
 //! through a [`Protocol`].
 //!
-//! Modules look down only: `supervisor` starts `front` (listeners), `catalog` (what the platform's store says) and
-//! `orders`; the first two accept by `listen`. `front` hands requests to `requests`, which calls `plain` or `generate`
-//! (with `rooms`); both use `rates` (what endpoints say that they take), `stream`, `body` with `holding` (what slow readers
-//! have not read), `node` (state, one step at an endpoint) and `pool` (connections). Decisions without input or output are
+//! Modules look down only: `supervisor` starts `listeners`, `catalog` (what the platform's store says) and
+//! `orders`; the first two accept by `accept`. `listeners` hands requests to `requests`, which calls `plain` or `generate`
+//! (with `reservations`); both use `rates` (what endpoints say that they take), `stream`, `body` with `buffering` (what slow readers
+//! have not read), `node` (state, one step at an endpoint) and `connection_pool`. Decisions without input or output are
 //! in the crate `teaselshunt-routing`.
 //!
 //! Both edges of traffic are `hyper` itself. A framework above it ends a failed stream as if it were whole and hides
@@ -18,33 +18,35 @@
 //! - everything taken at an endpoint (a slot in the account, reserved room, a KV cache) is an object whose drop gives
 //!   it back, so that a caller who leaves at any step leaves nothing behind.
 
+mod accept;
 mod admission;
 mod body;
+mod buffering;
 mod calls;
 mod catalog;
+mod connection_pool;
 mod crashes;
-mod front;
 mod generate;
+mod gossip;
 mod headers;
-mod holding;
-mod listen;
+mod listeners;
 mod logs;
 mod metrics;
 mod node;
 mod orders;
-mod peers;
 mod plain;
-mod pool;
 mod protocol;
 mod rates;
 mod refusals;
 mod requests;
-mod rooms;
+mod reservations;
 mod settings;
 mod stream;
 mod supervisor;
 mod trace;
 
-pub use protocol::{AnswerMeta, Batch, Call, Meta, NamedRate, News, Order, Protocol, Purpose};
+pub use protocol::{
+    AdvertisedRate, Batch, Call, Order, Protocol, Purpose, RequestMeta, ResponseMeta, StoreChange,
+};
 pub use settings::Settings;
 pub use supervisor::{StartError, run};
--- a/crates/forward/src/front.rs
+++ b/crates/forward/src/listeners.rs
@@ -16,8 +16,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
+use crate::accept::accept;
 use crate::body::Unread;
-use crate::listen::accept;
 use crate::node::{Node, Phase};
 use crate::requests;
 
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -27,11 +27,11 @@
 use tokio::sync::{Notify, watch};
 
 use crate::admission::Charge;
+use crate::buffering::{BufferedBytes, CollectError};
+use crate::connection_pool::{Connection, ConnectionPool, Failure};
 use crate::crashes::{Abandoned, Loss};
-use crate::holding::{CollectError, Holding};
 use crate::metrics::Metrics;
-use crate::pool::{Connection, Failure, Pool};
-use crate::protocol::{AnswerMeta, Call, Meta, Protocol, Purpose};
+use crate::protocol::{Call, Protocol, Purpose, RequestMeta, ResponseMeta};
 use crate::rates;
 use crate::settings::Settings;
 
@@ -84,7 +84,7 @@
     pub(crate) protocol: Box<dyn Protocol>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) state: RefCell<State>,
-    pub(crate) pool: Pool,
+    pub(crate) pool: ConnectionPool,
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
     pub(crate) phase: watch::Sender<Phase>,
@@ -105,7 +105,7 @@
 /// A caller's request with everything that its steps need.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) meta: Meta,
+    pub(crate) meta: RequestMeta,
     pub(crate) method: Method,
     /// Path and query as the caller wrote them.
     pub(crate) path: String,
@@ -113,7 +113,7 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     /// Room for the body, until the request has ended.
-    pub(crate) _holding: Holding,
+    pub(crate) _holding: BufferedBytes,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
     /// The caller's, where callers have keys.
@@ -338,15 +338,15 @@
 
     /// Tokens that a generation is expected to make.
     pub(crate) fn expected_output(&self, job: &Job) -> u64 {
-        let Some(hint) = job.meta.hint else { return job.meta.output };
+        let Some(hint) = job.meta.output_hint else { return job.meta.max_output_tokens };
         let state = self.state.borrow();
         let expected = state.outputs.get(&job.service.name).map_or(hint, |outputs| outputs.expect(hint));
-        expected.min(job.meta.output)
+        expected.min(job.meta.max_output_tokens)
     }
 
     /// A generation ended whole after so many events.
     pub(crate) fn learn_output(&self, job: &Job, events: u32) {
-        let Some(hint) = job.meta.hint else { return };
+        let Some(hint) = job.meta.output_hint else { return };
         let outputs = &mut self.state.borrow_mut().outputs;
         outputs.entry(Arc::clone(&job.service.name)).or_default().learn(hint, events);
     }
@@ -450,8 +450,8 @@
     /// and would give one caller what belongs to another. The id tells; such a connection is not used again.
     fn check(&self, job: &Job, answer: Answer, purpose: Purpose<'_>) -> Result<Answer, StepFailure> {
         let response = &answer.response;
-        let AnswerMeta { id, signed, refused, misdirected, endpoint: answering, rate } =
-            self.protocol.read_answer(response.status(), response.headers());
+        let ResponseMeta { id, signed, refused, misdirected, endpoint: answering, rate } =
+            self.protocol.read_response(response.status(), response.headers());
         if !id.is_empty() && id != job.meta.id {
             return Err(StepFailure::Broken);
         }
@@ -520,8 +520,8 @@
         body: Incoming,
         connection: Connection,
         until: Instant,
-    ) -> Result<(Bytes, Holding), Failure> {
-        let mut holding = Holding::new(self, Held::Answer);
+    ) -> Result<(Bytes, BufferedBytes), Failure> {
+        let mut holding = BufferedBytes::new(self, Held::Answer);
         match tokio::time::timeout_at(until.into(), holding.collect(body)).await {
             Ok(Ok(whole)) => {
                 self.pool.put(connection);
@@ -559,6 +559,6 @@
         Purpose::Run => "run",
         Purpose::Prefill => "prefill",
         Purpose::Decode { .. } => "decode",
-        Purpose::Whole { .. } => "whole",
+        Purpose::PrefillAndDecode { .. } => "whole",
     }
 }
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -32,7 +32,9 @@
 /// Whether this process is the one that orders.
 pub(crate) fn is_holder(node: &Node) -> bool {
     let settings = &node.settings;
-    settings.first && settings.control.is_some() && settings.control.as_ref() == settings.seeds.first()
+    settings.first_start
+        && settings.control_address.is_some()
+        && settings.control_address.as_ref() == settings.seeds.first()
 }
 
 /// Brings the stages of engines to the wanted shares, if this process is the one that orders.
@@ -94,8 +96,13 @@
         let Some(endpoint) = state.endpoints.by_id(&change.id) else { return };
         endpoint.address
     };
-    let holder = &node.settings.instance;
-    let call = node.protocol.order(Order { expect: &change.id, stage: change.stage, holder, fence });
+    let instance = &node.settings.instance;
+    let call = node.protocol.order(Order {
+        endpoint_id: &change.id,
+        stage: change.stage,
+        instance,
+        fencing_number: fence,
+    });
     let result = node.call(address, call, node.now() + CALL).await;
     let outcome = match result {
         Ok((StatusCode::ACCEPTED | StatusCode::OK, _)) => "accepted",
--- a/crates/forward/src/plain.rs
+++ b/crates/forward/src/plain.rs
@@ -13,8 +13,8 @@
 use teaselshunt_routing::{EndpointKey, Need, Repeat};
 
 use crate::body::AnswerBody;
+use crate::buffering::BufferedBytes;
 use crate::crashes::{self, Watch};
-use crate::holding::Holding;
 use crate::node::{Answer, Job, Node, Slot, StepFailure};
 use crate::protocol::Purpose;
 use crate::rates;
@@ -33,7 +33,7 @@
 
 /// A whole answer, or the head of a stream.
 enum Outcome {
-    Whole(Response<Bytes>, Holding),
+    Whole(Response<Bytes>, BufferedBytes),
     Stream(Answer, Slot),
 }
 
--- a/crates/forward/src/rates.rs
+++ b/crates/forward/src/rates.rs
@@ -10,7 +10,7 @@
 use teaselshunt_routing::{EndpointKey, EngineTag, RateChange, RateNews, RateWord, Stage};
 
 use crate::node::{Job, Node};
-use crate::protocol::NamedRate;
+use crate::protocol::AdvertisedRate;
 use crate::trace::Trace;
 
 /// Shortest time between two reports of rates that cannot be read.
@@ -81,11 +81,11 @@
 }
 
 /// An endpoint's answer names a rate, or none.
-pub(crate) fn answered(node: &Node, key: EndpointKey, named: NamedRate) {
+pub(crate) fn answered(node: &Node, key: EndpointKey, named: AdvertisedRate) {
     let rate = match named {
-        NamedRate::Limit(rate) => Some(rate),
-        NamedRate::None => None,
-        NamedRate::Invalid => {
+        AdvertisedRate::Limit(rate) => Some(rate),
+        AdvertisedRate::None => None,
+        AdvertisedRate::Invalid => {
             warn_invalid(node, key);
             None
         }
--- a/crates/forward/src/requests.rs
+++ b/crates/forward/src/requests.rs
@@ -16,7 +16,7 @@
 
 use crate::admission::{charge, identify};
 use crate::body::{AnswerBody, Unread};
-use crate::holding::{CollectError, Holding};
+use crate::buffering::{BufferedBytes, CollectError};
 use crate::node::{Job, Node, Phase};
 use crate::refusals::{ELSEWHERE, refuse};
 use crate::trace::Trace;
@@ -55,14 +55,14 @@
 async fn open(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    meta: crate::protocol::Meta,
+    meta: crate::protocol::RequestMeta,
     arrived: Instant,
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
     let routes = node.state.borrow().routes.clone();
     let (mut head, body) = request.into_parts();
     let key = node.protocol.take_key(&mut head.headers).map(|key| key.digest());
-    let mut holding = Holding::new(node, Held::Request);
+    let mut holding = BufferedBytes::new(node, Held::Request);
     let body = read_body(body, routes.as_deref(), &mut holding).await?;
     let routes = routes.ok_or(Refusal::later(ErrorKind::NotReady, ELSEWHERE))?;
     let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).or_else(|| head.uri.host());
@@ -119,7 +119,7 @@
 async fn read_body(
     body: Incoming,
     routes: Option<&RouteSet>,
-    holding: &mut Holding,
+    holding: &mut BufferedBytes,
 ) -> Result<Bytes, Refusal> {
     /// Limits that hold before any version is known.
     const SIZE: usize = 4 << 20;
--- a/crates/forward/src/rooms.rs
+++ b/crates/forward/src/reservations.rs
@@ -14,8 +14,8 @@
 use teaselshunt_routing::{EndpointKey, Looks, Need, Patience, Stage, Verdict, way_back};
 
 use crate::calls::{CALL, tidy};
+use crate::connection_pool::Failure;
 use crate::node::{Job, Node, Phase, Slot};
-use crate::pool::Failure;
 use crate::rates;
 use crate::refusals::ELSEWHERE;
 use crate::trace::Trace;
@@ -25,7 +25,7 @@
 
 /// Room that is reserved at a decode engine. Dropped with its reservation it gives it back.
 #[derive(Debug)]
-pub(crate) struct Room {
+pub(crate) struct Reservation {
     node: Rc<Node>,
     pub(crate) endpoint: EndpointKey,
     address: SocketAddr,
@@ -33,10 +33,10 @@
     pub(crate) slot: Option<Slot>,
 }
 
-impl Drop for Room {
+impl Drop for Reservation {
     fn drop(&mut self) {
         if let Some(hold) = self.hold.take() {
-            let call = self.node.protocol.unreserve(&hold);
+            let call = self.node.protocol.release(&hold);
             tidy(&self.node, self.address, call);
         }
     }
@@ -68,8 +68,8 @@
     job: &Job,
     trace: &Trace,
     search: Search<'_>,
-) -> Result<Room, Refusal> {
-    let tokens = job.meta.prompt + node.expected_output(job);
+) -> Result<Reservation, Refusal> {
+    let tokens = job.meta.prompt_tokens + node.expected_output(job);
     let Patience { until, late } = search.patience;
     let mut want = Want::Open;
     let mut looks = Looks::new(late);
@@ -111,7 +111,7 @@
         match reserve_at(node, job, key, (address, &id), tokens).await {
             Ok(hold) => {
                 let node = Rc::clone(node);
-                return Ok(Room { node, endpoint: key, address, hold: Some(hold), slot: Some(slot) });
+                return Ok(Reservation { node, endpoint: key, address, hold: Some(hold), slot: Some(slot) });
             }
             Err((verdict, outcome)) => {
                 node.learn(key, verdict);
@@ -169,12 +169,12 @@
     let answer = node.call_in_full(address, node.protocol.reserve(id, tokens, ttl), until).await;
     let answer = answer.map(|(head, body)| {
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            rates::answered(node, key, node.protocol.read_answer(head.status, &head.headers).rate);
+            rates::answered(node, key, node.protocol.read_response(head.status, &head.headers).rate);
         }
         (head.status, body)
     });
     let hold = match &answer {
-        Ok((StatusCode::OK, body)) => node.protocol.read_reserved(body),
+        Ok((StatusCode::OK, body)) => node.protocol.read_reservation(body),
         Ok(_) | Err(_) => None,
     };
     let (verdict, outcome) = judge(&answer);
@@ -231,7 +231,7 @@
 /// Prompts that are sent all the same would make those behind them late as well, and a prefill that ends too late is
 /// lost.
 fn in_time(node: &Node, job: &Job, patience: Patience) -> bool {
-    let prompt = job.meta.prompt;
+    let prompt = job.meta.prompt_tokens;
     let chosen = node.choose_prefill(&job.service.name, &[], prompt);
     let state = node.state.borrow();
     let Some(key) = chosen else {
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -13,33 +13,33 @@
     /// Its failure domain.
     pub domain: String,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// Where readiness is asked for.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where metrics are served.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// Address at which other instances know this one.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// Control addresses of some instances, the same list everywhere.
     pub seeds: Vec<SocketAddr>,
     /// Port, the same on every instance, at which instances tell one another what they have in flight.
-    pub peers: Option<u16>,
+    pub gossip_port: Option<u16>,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Whether the whole system starts for the first time.
-    pub first: bool,
+    pub first_start: bool,
     /// Time between a request to stop and the kill.
-    pub grace: Duration,
+    pub grace_time: Duration,
     /// Time after a disturbance from which all bounds hold again.
-    pub settle: Duration,
+    pub recovery_bound: Duration,
     /// Time within which a configuration version must be in force.
-    pub apply: Duration,
+    pub apply_bound: Duration,
     /// Time within which a leaving endpoint must get nothing new.
-    pub drain: Duration,
+    pub drain_bound: Duration,
     /// Terms for repeats.
-    pub repeats: Terms,
+    pub retry_budget: Terms,
     /// Memory that the process may take, in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Failure domains of the deployment; 0 where nothing is said.
-    pub domains: u32,
+    pub domain_count: u32,
 }
--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -15,9 +15,9 @@
 use teaselshunt_routing::{Held, Repeat, Verdict};
 
 use crate::body::{AnswerBody, Pieces, relay as body_relay};
+use crate::buffering::BufferedBytes;
 use crate::crashes;
 use crate::generate;
-use crate::holding::Holding;
 use crate::node::{Answer, Job, Node, Slot};
 use crate::trace::Trace;
 
@@ -77,7 +77,7 @@
 /// One run at one engine.
 struct Run {
     body: Incoming,
-    connection: crate::pool::Connection,
+    connection: crate::connection_pool::Connection,
     endpoint: teaselshunt_routing::EndpointKey,
     begun: Instant,
     slot: Slot,
@@ -157,14 +157,14 @@
         };
         trace.passed(events.count(&data));
         if let Some(made) = node.made(job, trace.events()).filter(|_| job.service.engine.is_some()) {
-            account(&mut slot, job.meta.prompt, made);
+            account(&mut slot, job.meta.prompt_tokens, made);
         }
         let data = if whole_only { events.take(&data) } else { data };
         if data.is_empty() {
             continue;
         }
         // A caller that reads slowly holds its engine no longer than it waits for.
-        let sent = pieces.send(data, Holding::new(node, Held::Answer));
+        let sent = pieces.send(data, BufferedBytes::new(node, Held::Answer));
         match tokio::time::timeout_at(job.until.into(), sent).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return End::CallerGone,
--- a/crates/forward/src/supervisor.rs
+++ b/crates/forward/src/supervisor.rs
@@ -19,12 +19,12 @@
 use tokio::task::LocalSet;
 
 use crate::catalog::{Catalog, give_copies};
+use crate::connection_pool::ConnectionPool;
 use crate::metrics::Metrics;
 use crate::node::{Node, Phase, State};
-use crate::pool::Pool;
 use crate::protocol::Protocol;
 use crate::settings::Settings;
-use crate::{front, logs, orders, peers};
+use crate::{gossip, listeners, logs, orders};
 
 /// How instances keep to teams' limits.
 const WAY: Way = Way::Shared;
@@ -86,16 +86,16 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
     let log = logs::start(&settings.instance, &settings.domain);
-    let callers = listen(settings.callers).await?;
-    let ready = listen(settings.ready).await?;
-    let start_of_all = if settings.first { Start::First } else { Start::Again };
-    let domains = (tag(&settings.domain), settings.domains);
+    let callers = listen(settings.callers_address).await?;
+    let ready = listen(settings.readiness_address).await?;
+    let start_of_all = if settings.first_start { Start::First } else { Start::Again };
+    let domains = (tag(&settings.domain), settings.domain_count);
     let quotas = Quotas::new(SystemClock.uptime(), WAY, start_of_all, domains);
     let node = Rc::new(Node {
         state: RefCell::new(State {
             routes: None,
             endpoints: Endpoints::default(),
-            budgets: Budgets::new(settings.repeats, rand::random()),
+            budgets: Budgets::new(settings.retry_budget, rand::random()),
             rng: SmallRng::from_os_rng(),
             paces: HashMap::new(),
             outputs: HashMap::new(),
@@ -103,13 +103,13 @@
             refused: Refused::default(),
             quarantine: Quarantine::default(),
             quotas,
-            memory: Memory::new((settings.memory as f64 * HELD_PART) as u64),
+            memory: Memory::new((settings.memory_bytes as f64 * HELD_PART) as u64),
             whole: false,
             listed: None,
         }),
         protocol,
         clock: Arc::new(SystemClock),
-        pool: Pool::default(),
+        pool: ConnectionPool::default(),
         metrics: Metrics::new()?,
         log,
         phase: watch::Sender::new(Phase::Serving),
@@ -121,19 +121,19 @@
         warned: Cell::new(None),
         settings,
     });
-    info!(node.log, "started"; "callers" => %node.settings.callers, "store" => %node.settings.store,
-        "first" => node.settings.first);
-    start(&node, "callers", front::callers(Rc::clone(&node), callers));
-    start(&node, "ready", front::readiness(Rc::clone(&node), ready));
-    if let Some(address) = node.settings.metrics {
-        start(&node, "metrics", front::metrics(Rc::clone(&node), address));
+    info!(node.log, "started"; "callers" => %node.settings.callers_address, "store" => %node.settings.store_address,
+        "first" => node.settings.first_start);
+    start(&node, "callers", listeners::callers(Rc::clone(&node), callers));
+    start(&node, "ready", listeners::readiness(Rc::clone(&node), ready));
+    if let Some(address) = node.settings.metrics_address {
+        start(&node, "metrics", listeners::metrics(Rc::clone(&node), address));
     }
-    let (sender, tellings) = mpsc::channel(peers::TELLINGS);
+    let (sender, tellings) = mpsc::channel(gossip::TELLINGS);
     let catalog = Rc::new(Catalog::new(&node, sender));
     start(&node, "store", Rc::clone(&catalog).run());
-    if let Some(port) = node.settings.peers {
+    if let Some(port) = node.settings.gossip_port {
         start(&node, "copies", give_copies(Rc::clone(&catalog), Rc::clone(&node), port));
-        start(&node, "peers", peers::run(catalog, Rc::clone(&node), port, tellings));
+        start(&node, "peers", gossip::run(catalog, Rc::clone(&node), port, tellings));
     }
     start(&node, "orders", orders::run(Rc::clone(&node)));
     start(&node, "housekeeping", housekeeping(Rc::clone(&node)));
@@ -211,7 +211,7 @@
 /// A planned stop: the balancer is told first, then idle connections are closed, then new requests are refused.
 async fn stop(node: &Rc<Node>) {
     let begun = node.now();
-    let grace = node.settings.grace;
+    let grace = node.settings.grace_time;
     info!(node.log, "stopping"; "connections" => node.connections.get());
     let mut phase = Phase::Serving;
     loop {
--- a/crates/forward/src/trace.rs
+++ b/crates/forward/src/trace.rs
@@ -11,7 +11,7 @@
 use teaselshunt_teams::Team;
 
 use crate::node::Node;
-use crate::protocol::Meta;
+use crate::protocol::RequestMeta;
 
 /// What is told of a request. Dropped without an end it says that the caller has gone.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 }
 
 impl Trace {
-    pub(crate) fn new(node: &Rc<Node>, meta: &Meta, arrived: Instant) -> Self {
+    pub(crate) fn new(node: &Rc<Node>, meta: &RequestMeta, arrived: Instant) -> Self {
         node.metrics.running.inc();
         Self {
             node: Rc::clone(node),
@@ -63,7 +63,7 @@
             steps: RefCell::default(),
             deadline: meta.deadline,
             returns: false,
-            size: Size { prompt: meta.prompt, output: meta.output, hint: meta.hint },
+            size: Size { prompt: meta.prompt_tokens, output: meta.max_output_tokens, hint: meta.output_hint },
             events: Cell::new(0),
             span: Cell::new(None),
             pause: Cell::new(Duration::ZERO),
