--- a/crates/forward/src/catalog/copies.rs
+++ b/crates/forward/src/catalog/snapshots.rs
@@ -24,9 +24,9 @@
     Endpoint, EndpointState, Era, EraOrder, RouteSet, SnapshotSearch, SnapshotStep, Stage, UpsertOutcome, tag,
 };
 
-use super::sharing::{millis, told};
+use super::store_updates::{millis, told};
 use super::{Catalog, GAP_SPREAD, outcome};
-use crate::pool::Failure;
+use crate::connection_pool::Failure;
 use crate::protocol::Call;
 
 /// Longest time for a copy to arrive.
@@ -154,7 +154,7 @@
     /// Copies the list from a peer that has a later one than `newer_than`. Looks for one for as long as knowledge may go
     /// unconfirmed; where only a `gap` is to be filled and nobody has it, for a moment.
     pub(super) async fn copy(&self, newer_than: Option<u64>, gap: bool) -> Copied {
-        if self.node.settings.peers.is_none() {
+        if self.node.settings.gossip_port.is_none() {
             return Copied::Nowhere;
         }
         let begun = self.node.clock.uptime();
