--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -182,7 +182,7 @@
     /// old entry that arrives late, or stands in a copy of the list, would otherwise send work to it again. A later start under the same id begins with nothing: its key is another one, so that
     /// what was begun at the former start cannot go on there by mistake, and entries of the former start are passed over.
     pub fn upsert(&mut self, mut endpoint: Endpoint) -> UpsertOutcome {
-        let left = self.departed.left(&endpoint.incarnation());
+        let left = self.departed.was_leaving(&endpoint.incarnation());
         // Without a time of birth it may be another start, which an entry of a copy is told from by its age only.
         if left == Some(true) && endpoint.born.is_some() {
             endpoint.state = EndpointState::Leaving;
--- a/crates/routing/src/removed.rs
+++ b/crates/routing/src/removed.rs
@@ -1,38 +1,39 @@
-//! Starts of endpoints that have gone, by which an old entry that comes back is told from a new start.
+//! Incarnations of endpoints that were removed, by which an old entry that is listed again is told from a new
+//! incarnation.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::Incarnation;
 
-/// Starts of endpoints that are remembered after they have gone; more than leave in the minutes in which an old entry may
+/// Removed incarnations that are remembered, more than are removed in the minutes in which an old entry may
 /// still be written.
-const DEPARTED: usize = 1024;
+const CAPACITY: usize = 1024;
 
-/// Starts of endpoints that were listed and have gone, the latest ones.
+/// The latest incarnations of endpoints that were listed and removed.
 #[derive(Debug, Default)]
 pub(crate) struct Removed {
-    /// Whether it had said that it leaves.
+    /// Whether each incarnation was leaving before its removal.
     known: HashMap<Incarnation, bool>,
     order: VecDeque<Incarnation>,
 }
 
 impl Removed {
-    pub(crate) fn insert(&mut self, life: Incarnation, leaving: bool) {
-        if let Some(known) = self.known.get_mut(&life) {
+    pub(crate) fn insert(&mut self, incarnation: Incarnation, leaving: bool) {
+        if let Some(known) = self.known.get_mut(&incarnation) {
             *known |= leaving;
             return;
         }
-        self.known.insert(life.clone(), leaving);
-        self.order.push_back(life);
-        if self.order.len() > DEPARTED
+        self.known.insert(incarnation.clone(), leaving);
+        self.order.push_back(incarnation);
+        if self.order.len() > CAPACITY
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
         }
     }
 
-    /// Whether a start that has gone had said that it leaves; `None` for one that is not known to have gone.
-    pub(crate) fn left(&self, life: &Incarnation) -> Option<bool> {
-        self.known.get(life).copied()
+    /// Whether a removed incarnation was leaving before its removal; `None` if its removal is not known.
+    pub(crate) fn was_leaving(&self, incarnation: &Incarnation) -> Option<bool> {
+        self.known.get(incarnation).copied()
     }
 }
--- a/crates/routing/src/stages.rs
+++ b/crates/routing/src/stages.rs
@@ -1,44 +1,47 @@
 //! How many engines of a service prefill and how many decode.
 //!
-//! A prefill takes one engine a tenth of a second or so; its KV cache then takes a part of a decode engine's memory for
-//! the length of the answer, some thirty times as long. How many answers a decode engine holds at a time follows from
-//! its memory, so that the larger the memory, the larger the share of engines that prefill.
+//! A prefill takes an engine about a tenth of a second. Its KV cache then takes a part of a decode engine's
+//! memory while the answer is generated, some thirty times as long. A decode engine's memory determines how
+//! many answers it holds at a time, so that the larger the memory, the larger the share of engines that
+//! prefill.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::{Endpoint, Incarnation, Stage};
 
-/// Tokens of memory at which one decode engine keeps up with one prefill engine: a request's tokens (some thousands)
-/// times how much longer an answer takes than its prefill (some thirty times).
-const BALANCE: f64 = 128_000.0;
-/// Prefill engines over the balance, for each root of their number: a queue at prefill engines makes first events late,
-/// and the more engines share the load, the less of it varies (square-root staffing).
-const HEADROOM: f64 = 0.65;
+/// Memory in tokens at which one decode engine keeps up with one prefill engine: the tokens of a request
+/// (some thousands) times how much longer an answer takes than its prefill (some thirty times).
+const BALANCE_TOKENS: f64 = 128_000.0;
+/// Prefill engines above the balance, for each root of their number (square-root staffing): a queue at
+/// prefill engines makes first events late, and the more engines share the load, the smaller a part of it
+/// varies.
+const STAFFING_MARGIN: f64 = 0.65;
 
-/// Prefill engines over the wanted number that are left as they are while the system serves: a change takes an engine
-/// out for seconds, and numbers waver while endpoints come and go.
-const EXCESS: usize = 1;
-/// The same as a share of all engines, which counts where there are many.
-const EXCESS_SHARE: f64 = 0.03;
+/// Prefill engines above the target that are left as they are while the system serves: a change takes an
+/// engine out of service for seconds, and numbers fluctuate while endpoints come and go.
+const TOLERATED_EXCESS: usize = 1;
+/// The same as a fraction of all engines, which counts where there are many.
+const TOLERATED_EXCESS_FRACTION: f64 = 0.03;
 
 /// A change of an engine's stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageChange {
     /// The engine.
     pub id: Arc<str>,
-    /// Which start of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its new stage.
     pub stage: Stage,
 }
 
-/// Changes that bring the engines of one service to the wanted share; `open` are those that take new work, and
-/// `ordered` tells the stage that a start of an engine was ordered to take already, which the list shows only seconds later.
+/// Returns the changes that bring the engines of one service to the target share. `open` are the engines that
+/// take new work, and `ordered` returns the stage that an incarnation of an engine was ordered to take
+/// already, which the list shows only seconds later.
 ///
-/// Each failure domain keeps its prefill engines as evenly as numbers allow: the domain with the most gives one up
-/// first. `memory` is an engine's memory in tokens. At least two are kept, so that the loss of one leaves prefill working. With `serving` a small excess is left
-/// alone.
+/// The prefill engines of each failure domain stay as even in number as possible: the domain with the most
+/// gives one up first. `memory` is an engine's memory in tokens. At least two prefill engines are kept, so
+/// that prefill goes on after the loss of one. With `serving` a small excess is left alone.
 pub fn plan_stage_changes<'a>(
     open: impl Iterator<Item = &'a Endpoint>,
     ordered: impl Fn(&Incarnation) -> Option<Stage>,
@@ -49,14 +52,14 @@
     let stage = |e: &Endpoint| ordered(&e.incarnation()).or(e.stage);
     let mut prefill = ByDomain::of(all.iter().copied().filter(|e| stage(e) == Some(Stage::Prefill)));
     let memory = memory as f64;
-    let balance = all.len() as f64 * memory / (memory + BALANCE);
-    let wanted = ((balance + HEADROOM * balance.sqrt()).round() as usize).max(2);
+    let balance = all.len() as f64 * memory / (memory + BALANCE_TOKENS);
+    let target = ((balance + STAFFING_MARGIN * balance.sqrt()).round() as usize).max(2);
     let mut changes = Vec::new();
-    let excess = EXCESS.max((all.len() as f64 * EXCESS_SHARE) as usize);
-    if serving && prefill.count <= wanted + excess {
+    let excess = TOLERATED_EXCESS.max((all.len() as f64 * TOLERATED_EXCESS_FRACTION) as usize);
+    if serving && prefill.count <= target + excess {
         return changes;
     }
-    while prefill.count > wanted {
+    while prefill.count > target {
         let Some(engine) = prefill.take() else { break };
         changes.push(StageChange {
             id: Arc::clone(&engine.id),
@@ -67,10 +70,11 @@
     changes
 }
 
-/// Engines by failure domain, so that a plan for thousands takes no time that grows faster than their number.
+/// Engines by failure domain, so that the time to plan for thousands of engines grows no faster than their
+/// number.
 #[derive(Debug, Default)]
 struct ByDomain<'a> {
-    /// Those of each domain, the one with the last id at the end.
+    /// Engines of each domain, ordered by id.
     engines: BTreeMap<&'a str, Vec<&'a Endpoint>>,
     count: usize,
 }
@@ -88,10 +92,11 @@
         all
     }
 
-    /// Takes one out of the domain that has most; of several such domains, the one with the last id.
+    /// Removes the engine with the last id of the domain that has the most engines; among several such
+    /// domains, of the one that has the last id.
     fn take(&mut self) -> Option<&'a Endpoint> {
-        let most = self.engines.values_mut().max_by_key(|e| (e.len(), e.last().map(|last| &last.id)))?;
-        let engine = most.pop()?;
+        let largest = self.engines.values_mut().max_by_key(|e| (e.len(), e.last().map(|last| &last.id)))?;
+        let engine = largest.pop()?;
         self.count -= 1;
         Some(engine)
     }
