--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as the platform's list has it, and how a step there ends.
+//! One endpoint as the platform's list shows it, and the outcomes of a step at an endpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
     pub struct EndpointKey;
 }
 
-/// Part of a generation that an engine does.
+/// Stage of a generation that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Reads prompts.
+    /// Prefills prompts.
     Prefill,
-    /// Generates.
+    /// Generates tokens.
     Decode,
 }
 
@@ -33,18 +33,19 @@
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It does.
+    /// It takes new work.
     Ready,
-    /// It is on its way out.
+    /// It is shutting down and takes no new work.
     Leaving,
 }
 
-/// An endpoint as the list has it.
+/// An endpoint as the list shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id; a later start of the endpoint may bear it again.
+    /// Its id; a later incarnation of the endpoint may have the same one.
     pub id: Arc<str>,
-    /// When this start began, by the endpoint's own clock; `None` where the platform tells no such time.
+    /// When this incarnation started, by the endpoint's own clock; `None` if the platform doesn't provide the
+    /// time.
     pub born: Option<SystemTime>,
     /// Its service.
     pub service: Arc<str>,
@@ -58,7 +59,7 @@
     pub stage: Option<Stage>,
 }
 
-/// One start of an endpoint. What was believed, ordered or kept at one start says nothing of the next.
+/// One start of an endpoint. Estimates, orders and state of one incarnation don't apply to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     id: Arc<str>,
@@ -66,7 +67,7 @@
 }
 
 impl Endpoint {
-    /// Which start of the endpoint this is.
+    /// The incarnation that the entry shows.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: Arc::clone(&self.id), born: self.born }
     }
@@ -75,14 +76,14 @@
 /// How a step at an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepOutcome {
-    /// It answered, after this time.
+    /// The endpoint responded, after this time.
     Answered(Duration),
-    /// It answered with a failure of its own.
+    /// The endpoint responded with an error of its own.
     ErrorResponse,
-    /// It has no room now.
+    /// The endpoint has no capacity now.
     Full,
-    /// It broke off, was silent, or answered nonsense.
+    /// The connection broke, or the response did not come in time or was invalid.
     Failed,
-    /// It could not be reached, or another one has its address.
+    /// The endpoint could not be reached, or another endpoint has its address.
     Unreachable,
 }
--- a/crates/routing/src/endpoints/limited.rs
+++ b/crates/routing/src/endpoints/limited.rs
@@ -1,7 +1,7 @@
-//! Which endpoints with rates a choice looks at, and how many requests try them at all.
+//! Which rate-limited endpoints a choice considers, and how many requests attempt one at all.
 //!
-//! Instances hear of one another's sends one telling late. If each request tried every endpoint with a rate, one that has room
-//! would get what all callers ask in that time.
+//! Instances learn of one another's sends with the gossip delay. If each request attempted every rate-limited
+//! endpoint, an endpoint with free capacity would get all callers' requests during that delay.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,31 +12,32 @@
 use super::Rank;
 use crate::{EndpointKey, Stage};
 
-/// Endpoints with rates that a choice looks at.
-const TRIES: usize = 2;
-/// How much more of the requests tries endpoints with rates than was found to have room there lately. What callers ask beyond
-/// that is refused without a look, so that the pressure on an endpoint that has room does not grow with what they ask.
-const SURPLUS: f64 = 1.5;
-/// Part of the requests that tries them at least.
-const TRYING_MIN: f64 = 0.05;
-/// Weight of one choice in the share of those that found room.
+/// Rate-limited endpoints that a choice considers.
+const SAMPLE_SIZE: usize = 2;
+/// Share of the requests that attempt rate-limited endpoints, as a multiple of the share that found capacity
+/// there lately. Requests beyond that are refused without an attempt, so that the load on an endpoint with
+/// free capacity doesn't grow with the callers' demand.
+const ATTEMPT_SURPLUS: f64 = 1.5;
+/// Smallest share of the requests that attempt them.
+const ATTEMPT_SHARE_MIN: f64 = 0.05;
+/// Weight of one choice in the share of those that found capacity.
 const FOUND_WEIGHT: f64 = 0.06;
 
-/// Some of the endpoints with rates that a choice meets, drawn with the same chance for each.
+/// Random sample of the rate-limited endpoints among a choice's candidates, with the same chance for each.
 #[derive(Debug, Default)]
 pub(super) struct Sample {
-    met: usize,
+    seen: usize,
     drawn: Vec<(Rank, EndpointKey)>,
 }
 
 impl Sample {
     pub(super) fn offer(&mut self, rank: Rank, key: EndpointKey, rng: &mut impl Rng) {
-        self.met += 1;
-        if self.drawn.len() < TRIES {
+        self.seen += 1;
+        if self.drawn.len() < SAMPLE_SIZE {
             self.drawn.push((rank, key));
             return;
         }
-        let place = rng.random_range(0..self.met);
+        let place = rng.random_range(0..self.seen);
         if let Some(drawn) = self.drawn.get_mut(place) {
             *drawn = (rank, key);
         }
@@ -54,24 +55,24 @@
 /// Service and stage of a choice.
 type Kind = (Arc<str>, Option<Stage>);
 
-/// Share of the choices that found room, among those that met no endpoint without a rate.
+/// Share of the choices that found capacity, among those with rate-limited candidates only.
 #[derive(Debug, Default)]
-pub(super) struct Pressure {
+pub(super) struct FoundShare {
     found: RefCell<HashMap<Kind, f64>>,
 }
 
-impl Pressure {
+impl FoundShare {
     fn share(&self, kind: &Kind) -> f64 {
         self.found.borrow().get(kind).copied().unwrap_or(1.0)
     }
 
-    /// Whether a request tries endpoints with rates where there are no others.
-    pub(super) fn tries(&self, service: &str, stage: Option<Stage>, rng: &mut impl Rng) -> bool {
+    /// Draws whether a request attempts rate-limited endpoints where there are no others.
+    pub(super) fn attempts(&self, service: &str, stage: Option<Stage>, rng: &mut impl Rng) -> bool {
         let share = self.share(&(Arc::from(service), stage));
-        rng.random_bool((share * SURPLUS).clamp(TRYING_MIN, 1.0))
+        rng.random_bool((share * ATTEMPT_SURPLUS).clamp(ATTEMPT_SHARE_MIN, 1.0))
     }
 
-    /// Learns whether a request found room, tried or not.
+    /// Learns whether a request found capacity; a request without an attempt did not.
     pub(super) fn learn(&self, service: &str, stage: Option<Stage>, found: bool) {
         let kind = (Arc::from(service), stage);
         let share = self.share(&kind);
@@ -79,7 +80,7 @@
         self.found.borrow_mut().insert(kind, share + (found - share) * FOUND_WEIGHT);
     }
 
-    /// Forgets everything; no endpoint names a rate.
+    /// Resets the shares, when no endpoint advertises a rate.
     pub(super) fn clear(&mut self) {
         self.found.get_mut().clear();
     }
--- a/crates/routing/src/health_estimate.rs
+++ b/crates/routing/src/health_estimate.rs
@@ -1,192 +1,199 @@
 //! What one instance has learned of one endpoint from its own results.
 //!
-//! Results count and health answers do not: an endpoint can fail with good health answers and work with bad ones. Whatever
-//! is learned fades or ends by itself, so that a wrong belief costs little and an endpoint that is well again is found.
+//! Results count and health checks do not: an endpoint can fail requests while its health checks pass, and
+//! serve them while its health checks fail. Everything that is learned decays or expires by itself, so that a
+//! wrong estimate costs little and an endpoint that has recovered is found.
 
 use std::time::{Duration, Instant};
 
 use crate::StepOutcome;
 
 /// Failures in a row after which an endpoint is paused.
-const FAILURES: u32 = 2;
-/// First pause; doubles with each further failure. About the shortest outage worth avoiding.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause, so that an endpoint that is back is found within this time.
+const PAUSE_FAILURES: u32 = 2;
+/// First pause, about the shortest outage worth avoiding; doubles with each further failure.
+const PAUSE_MIN: Duration = Duration::from_millis(500);
+/// Longest pause, so that an endpoint that has recovered is found within this time.
 const PAUSE_MAX: Duration = Duration::from_secs(2);
-/// How long others are told of an endpoint that has ended; the list shows it by then.
-const RETIRED: Duration = Duration::from_secs(10);
-/// How long a refusal for want of room keeps an endpoint from being asked again; doubles with each further refusal in a
-/// row. An engine that changes its stage refuses everything for seconds while it has nothing to do, and would draw all
-/// requests to itself.
-const FULL: Duration = Duration::from_millis(60);
-/// Refusals in a row of a decode engine from which the time doubles. Room there comes free at any moment, and one refusal
-/// says little of the next; but memory can be taken by work that nobody counts, such as that of an instance that is frozen,
-/// and then all waiting requests would ask all such engines over and over.
-const FULL_ROW: u32 = 4;
+/// Time for which an endpoint that has ended is reported to others; the list shows the end by then.
+const ENDED_PAUSE: Duration = Duration::from_secs(10);
+/// Time for which a refusal for lack of capacity keeps an endpoint from being asked again; doubles with each
+/// further refusal in a row. An engine that changes its stage refuses everything for seconds while it has
+/// nothing in flight, and would otherwise attract all requests.
+const FULL_MIN: Duration = Duration::from_millis(60);
+/// Refusals in a row of a decode engine from which the time doubles. Capacity there becomes free at any
+/// moment, and one refusal says little about the next. But memory can be taken by work that no instance
+/// counts, such as that of a frozen instance, and then all waiting requests would ask all such engines over
+/// and over.
+const FULL_DOUBLING_REFUSALS: u32 = 4;
 /// Longest such time.
 const FULL_MAX: Duration = Duration::from_millis(960);
-/// Time without any answer after which an engine with work of this instance counts as silent: several times what a
-/// prefill or a small call takes at an engine that is not behind.
-const SILENT: Duration = Duration::from_millis(1200);
-/// Latency that is assumed of an endpoint with no results yet.
-const LATENCY: f64 = 0.020;
+/// Time without any response after which an engine with work of this instance counts as unresponsive: several
+/// times what a prefill or a small call takes at an engine that is not overloaded.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Latency in seconds that is assumed of an endpoint with no results yet.
+const INITIAL_LATENCY: f64 = 0.020;
 /// Weight of one result in the moving average of latencies.
-const WEIGHT: f64 = 0.2;
-/// Time in which an average that gets no results falls half-way back to the assumed latency. A slow endpoint is
-/// so tried again after some seconds.
-const HALF_LIFE: f64 = 3.0;
+const LATENCY_WEIGHT: f64 = 0.2;
+/// Seconds in which an average without results falls half-way back to the assumed latency, so that a slow
+/// endpoint gets another attempt after some seconds.
+const LATENCY_HALF_LIFE: f64 = 3.0;
 /// Weight of one result in the moving average of failures.
 const ERROR_WEIGHT: f64 = 0.25;
-/// Time in which the share of failures falls by half without results; longer than that of latencies, since each try of
-/// an endpoint that fails costs a caller its answer.
+/// Seconds in which the share of failures falls by half without results; longer than that of latencies, since
+/// each attempt at an endpoint that fails costs a caller its response.
 const ERROR_HALF_LIFE: f64 = 5.0;
-/// Share of failures over which an endpoint is only chosen where there is no other: three in a row at an endpoint that
-/// was well. Some services fail one request in seven by nature, so that two in a row say nothing.
-const ERRORS: f64 = 0.5;
+/// Share of failures above which an endpoint is only chosen where there is no other: three in a row at an
+/// endpoint without failures before. Some services normally fail one request in seven, so that two in a row
+/// mean nothing.
+const SUSPECT_ERROR_SHARE: f64 = 0.5;
 
-/// Results at one endpoint.
+/// What the results at one endpoint have shown.
 #[derive(Debug)]
-pub(crate) struct Belief {
+pub(crate) struct HealthEstimate {
     failures: u32,
-    paused: Option<Instant>,
-    full: Option<Instant>,
+    paused_until: Option<Instant>,
+    full_until: Option<Instant>,
     refusals: u32,
-    /// Since when work is in progress there without any answer.
-    silent: Option<Instant>,
+    /// Since when work is in progress there without any response.
+    unanswered_since: Option<Instant>,
     latency: f64,
-    measured: Option<Instant>,
-    /// Share of failures as of `judged`.
+    latency_at: Option<Instant>,
+    /// Share of failures as of `errors_at`.
     errors: f64,
-    judged: Option<Instant>,
+    errors_at: Option<Instant>,
 }
 
-impl Default for Belief {
+impl Default for HealthEstimate {
     fn default() -> Self {
         Self {
             failures: 0,
-            paused: None,
-            full: None,
+            paused_until: None,
+            full_until: None,
             refusals: 0,
-            silent: None,
-            latency: LATENCY,
-            measured: None,
+            unanswered_since: None,
+            latency: INITIAL_LATENCY,
+            latency_at: None,
             errors: 0.0,
-            judged: None,
+            errors_at: None,
         }
     }
 }
 
-impl Belief {
-    /// The first work in progress begins.
+impl HealthEstimate {
+    /// Records that work begins while none was in progress.
     pub(crate) fn begin(&mut self, now: Instant) {
-        self.silent = Some(now);
+        self.unanswered_since = Some(now);
     }
 
-    /// No work is in progress any more.
+    /// Records that no work is in progress any more.
     pub(crate) fn end(&mut self) {
-        self.silent = None;
+        self.unanswered_since = None;
     }
 
-    /// The endpoint has ended.
-    pub(crate) fn retire(&mut self, now: Instant) {
-        // Paused as well, so that others hear of it until the list shows it.
-        self.paused = Some(now + RETIRED);
+    /// Records that the endpoint has ended.
+    pub(crate) fn mark_ended(&mut self, now: Instant) {
+        // Paused as well, so that it is reported to others until the list shows the end.
+        self.paused_until = Some(now + ENDED_PAUSE);
     }
 
     /// Expected latency, in seconds.
-    pub(crate) fn expected(&self, now: Instant) -> f64 {
-        let Some(at) = self.measured else { return LATENCY };
+    pub(crate) fn expected_latency(&self, now: Instant) -> f64 {
+        let Some(at) = self.latency_at else { return INITIAL_LATENCY };
         let age = now.duration_since(at).as_secs_f64();
-        LATENCY + (self.latency - LATENCY) * 0.5_f64.powf(age / HALF_LIFE)
+        INITIAL_LATENCY + (self.latency - INITIAL_LATENCY) * 0.5_f64.powf(age / LATENCY_HALF_LIFE)
     }
 
-    /// Share of results that are failures. It fades without results, so that the endpoint is tried again.
+    /// Share of results that are failures. It decays without results, so that the endpoint gets another
+    /// attempt.
     fn error_share(&self, now: Instant) -> f64 {
-        let Some(at) = self.judged else { return 0.0 };
+        let Some(at) = self.errors_at else { return 0.0 };
         self.errors * 0.5_f64.powf(now.duration_since(at).as_secs_f64() / ERROR_HALF_LIFE)
     }
 
-    fn judge(&mut self, now: Instant, failed: bool) {
+    fn learn_error(&mut self, now: Instant, failed: bool) {
         let share = self.error_share(now);
         self.errors = share + (f64::from(u8::from(failed)) - share) * ERROR_WEIGHT;
-        self.judged = Some(now);
+        self.errors_at = Some(now);
     }
 
-    /// Whether it was paused, or fails most requests.
+    /// Whether the endpoint is paused, or fails most requests.
     ///
-    /// An endpoint can fail everything with good health answers, and fast. By its latency alone it would look the best of
-    /// all and draw over half of the callers to itself.
+    /// An endpoint can fail all requests fast while its health checks pass. By its latency alone it would
+    /// look the best of all, and attract over half of the callers.
     pub(crate) fn is_suspect(&self, now: Instant) -> bool {
-        self.error_share(now) > ERRORS || self.paused.is_some_and(|until| now < until)
+        self.error_share(now) > SUSPECT_ERROR_SHARE || self.paused_until.is_some_and(|until| now < until)
     }
 
-    /// Whether work is in progress there and nothing has been heard for long.
-    pub(crate) fn is_silent(&self, now: Instant) -> bool {
-        self.silent.is_some_and(|since| now.duration_since(since) > SILENT)
+    /// Whether work is in progress there and nothing was received for long.
+    pub(crate) fn is_unresponsive(&self, now: Instant) -> bool {
+        self.unanswered_since.is_some_and(|since| now.duration_since(since) > RESPONSE_TIMEOUT)
     }
 
-    /// Whether it refused for want of room a moment ago.
+    /// Whether the endpoint refused for lack of capacity a moment ago.
     pub(crate) fn is_full(&self, now: Instant) -> bool {
-        self.full.is_some_and(|until| now < until)
+        self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Learns from how a step ended; `decodes` is a decode engine's. Says whether the endpoint's being in use has changed.
+    /// Learns from the outcome of a step; `decodes` is true for a decode engine. Returns whether a pause of
+    /// the endpoint began or ended.
     ///
-    /// Without the pause every request would find out on its own, by its own timeout, that an endpoint is dead;
-    /// callers would see a run of slow answers. The pause is short and ends by itself, so that a wrong one costs
-    /// little.
-    pub(crate) fn learn(&mut self, now: Instant, verdict: StepOutcome, decodes: bool) -> bool {
-        if matches!(verdict, StepOutcome::Answered(_) | StepOutcome::Full) && self.silent.is_some() {
-            self.silent = Some(now);
+    /// Without the pause every request would find out by its own timeout that an endpoint is dead, and
+    /// callers would see a run of slow responses. The pause is short and ends by itself, so that a wrong one
+    /// costs little.
+    pub(crate) fn learn(&mut self, now: Instant, outcome: StepOutcome, decodes: bool) -> bool {
+        if matches!(outcome, StepOutcome::Answered(_) | StepOutcome::Full) && self.unanswered_since.is_some()
+        {
+            self.unanswered_since = Some(now);
         }
-        match verdict {
+        match outcome {
             StepOutcome::ErrorResponse => {
-                self.judge(now, true);
+                self.learn_error(now, true);
                 self.failures = 0;
                 false
             }
             StepOutcome::Answered(latency) => {
-                self.judge(now, false);
+                self.learn_error(now, false);
                 self.answered(now, latency)
             }
             StepOutcome::Full => {
                 self.refused(now, decodes);
-                self.paused.take().is_some()
+                self.paused_until.take().is_some()
             }
             StepOutcome::Failed => {
-                self.judge(now, true);
+                self.learn_error(now, true);
                 self.fail(now, self.failures + 1)
             }
-            // An endpoint that is not there is not there for the next one either; other failures may be chance.
-            StepOutcome::Unreachable => self.fail(now, (self.failures + 1).max(FAILURES)),
+            // An endpoint that is unreachable is so for the next request too; other failures may be chance.
+            StepOutcome::Unreachable => self.fail(now, (self.failures + 1).max(PAUSE_FAILURES)),
         }
     }
 
     fn answered(&mut self, now: Instant, latency: Duration) -> bool {
-        let expected = self.expected(now);
-        self.latency = expected + (latency.as_secs_f64() - expected) * WEIGHT;
-        self.measured = Some(now);
+        let expected = self.expected_latency(now);
+        self.latency = expected + (latency.as_secs_f64() - expected) * LATENCY_WEIGHT;
+        self.latency_at = Some(now);
         self.failures = 0;
-        self.full = None;
+        self.full_until = None;
         self.refusals = 0;
-        self.paused.take().is_some()
+        self.paused_until.take().is_some()
     }
 
     fn refused(&mut self, now: Instant, decodes: bool) {
-        let doublings = if decodes { self.refusals.saturating_sub(FULL_ROW - 1) } else { self.refusals };
-        self.full = Some(now + (FULL * 2_u32.pow(doublings.min(4))).min(FULL_MAX));
+        let doublings =
+            if decodes { self.refusals.saturating_sub(FULL_DOUBLING_REFUSALS - 1) } else { self.refusals };
+        self.full_until = Some(now + (FULL_MIN * 2_u32.pow(doublings.min(4))).min(FULL_MAX));
         self.refusals = self.refusals.saturating_add(1);
         self.failures = 0;
     }
 
-    /// Pauses the endpoint after so many failures in a row, if that is enough of them.
+    /// Records the number of failures in a row, and pauses the endpoint if they are enough.
     fn fail(&mut self, now: Instant, failures: u32) -> bool {
         self.failures = failures;
-        if failures < FAILURES {
+        if failures < PAUSE_FAILURES {
             return false;
         }
-        let doublings = (failures - FAILURES).min(4);
-        let pause = (PAUSE * 2_u32.pow(doublings)).min(PAUSE_MAX);
-        self.paused.replace(now + pause).is_none()
+        let doublings = (failures - PAUSE_FAILURES).min(4);
+        let pause = (PAUSE_MIN * 2_u32.pow(doublings)).min(PAUSE_MAX);
+        self.paused_until.replace(now + pause).is_none()
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,13 +1,23 @@
-//! Decisions on requests that are passed on whole: where each goes, whether it may go again, what is believed of
-//! endpoints. No input or output, no clock, randomness passed in.
+//! Decisions on requests that are forwarded as a whole: which endpoint gets each, whether it may be sent
+//! again, and what is known of the endpoints. This crate has no input or output and no clock; callers of its
+//! functions pass in the time and the randomness.
 //!
-//! `routes` is one configuration version; `endpoints` keeps every `endpoint` with the `health_estimate` that results have left, and
-//! chooses among them; `ledger` is what other instances have in flight; `rates` keeps to the rates that endpoints name, and
-//! `refusals` counts whom that turns away; `prefill_estimate` learns how long prefill takes, `output_estimate` how many tokens generations make;
-//! `retry_detection` tells callers who come back from new ones; `peers` is who else there is, `store_updates` who reads the platform's
-//! store for the others, `snapshot_sources` who has the whole list and `changes` what changed in it lately; `memory` bounds what is
-//! held for those who read slowly; `budget` limits repeats, and `sends` says what those of a generation cost; `stages`
-//! decides how many engines prefill and how many decode.
+//! - `routes` is one configuration version.
+//! - `endpoints` keeps every `endpoint` with the `health_estimate` that its results have left, and chooses
+//!   among them; `removed` remembers incarnations of endpoints that are no longer listed.
+//! - `ledger` is the work that other instances have in flight.
+//! - `rates` keeps to the rates that endpoints advertise, and `refusals` counts the requests that are refused
+//!   because of them.
+//! - `prefill_estimate` learns how long prefill takes, and `output_estimate` how many tokens generations
+//!   produce.
+//! - `retry_detection` tells callers' retries from new requests, and `wait_policy` says how long a generation
+//!   waits for capacity.
+//! - `peers` is the other instances, `store_updates` determines which of them read the platform's store for
+//!   the others, `snapshot_sources` which of them have the complete list of endpoints, and `changes` what
+//!   changed in the list lately.
+//! - `memory` bounds the bodies that are held for slow readers.
+//! - `budget` limits second attempts, and `sends` charges those of a generation.
+//! - `stages` decides how many engines prefill and how many decode.
 
 mod budget;
 mod changes;
--- a/crates/routing/src/memory.rs
+++ b/crates/routing/src/memory.rs
@@ -1,24 +1,25 @@
-//! Memory for bodies on their way: what callers have sent and endpoints have not read yet, and the other way round.
+//! Memory for bodies in transit: requests that endpoints have not read yet, and responses that callers have
+//! not read yet.
 //!
-//! Either side may read slowly or not at all, so that what is held is not bounded by what arrives. Where too much is held
-//! new requests are refused first: they have not run, and their callers may go to another instance. Answers have the rest
-//! to themselves, since an answer that cannot be held is work lost.
+//! Either side may read slowly or not at all, so the memory that bodies take has no bound of its own. When
+//! too much is held, new requests are refused first: they have not run, and their callers may go to another
+//! instance. Responses have the rest to themselves, since a response that can't be held is lost work.
 
-/// Part of the memory up to which requests are taken.
-const REQUESTS: f64 = 0.75;
+/// Fraction of the memory up to which requests are taken.
+const REQUEST_FRACTION: f64 = 0.75;
 
 /// What bytes are held for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyKind {
     /// The body of a request that has not ended.
     Request,
-    /// An answer that its caller has not read.
+    /// A response that its caller has not read.
     Response,
 }
 
-/// There is no room for more.
+/// The memory for bodies is used up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("too much is held for callers and endpoints that have not read it")]
+#[error("the memory for unread request and response bodies is used up")]
 pub struct MemoryFull;
 
 /// Bytes that are held, and how many may be.
@@ -29,18 +30,17 @@
 }
 
 impl BodyMemory {
-    /// Nothing is held yet; at most `limit` bytes may be.
+    /// Empty memory in which at most `limit` bytes may be held.
     pub const fn new(limit: u64) -> Self {
         Self { limit, held: 0 }
     }
 
-    /// Takes room for so many bytes.
+    /// Reserves memory for so many bytes.
     ///
-    /// # Errors
-    /// There is not enough; nothing was taken.
-    pub fn reserve(&mut self, bytes: u64, held: BodyKind) -> Result<(), MemoryFull> {
-        let limit = match held {
-            BodyKind::Request => (self.limit as f64 * REQUESTS) as u64,
+    /// # Errors There is not enough; nothing was reserved.
+    pub fn reserve(&mut self, bytes: u64, kind: BodyKind) -> Result<(), MemoryFull> {
+        let limit = match kind {
+            BodyKind::Request => (self.limit as f64 * REQUEST_FRACTION) as u64,
             BodyKind::Response => self.limit,
         };
         let sum = self.held.saturating_add(bytes);
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// So many bytes are held no longer.
+    /// Releases so many reserved bytes.
     pub const fn release(&mut self, bytes: u64) {
         self.held = self.held.saturating_sub(bytes);
     }
--- a/crates/routing/src/output_estimate.rs
+++ b/crates/routing/src/output_estimate.rs
@@ -1,33 +1,35 @@
-//! How many tokens generations make, learned from those that have ended.
+//! How many tokens generations produce, learned from those that have ended.
 //!
-//! Callers estimate their output, rightly at the median but often far off. An estimate that is far from the usual one is
-//! mostly wrong in that direction, so that the truth lies between the two (regression to the mean). How far between is
-//! learned as a regression of logarithms: of events that came on tokens that were estimated. That estimates are right at
-//! the median also gives the tokens in one event, which engines do not tell.
+//! Callers estimate their output. The estimates are right at the median but often far off. An estimate that
+//! is far from the usual one is mostly wrong in that direction, so the true output lies between the two
+//! (regression to the mean). How far between is learned by a regression of logarithms: of the events that
+//! came on the tokens that were estimated. Since estimates are right at the median, the regression also gives
+//! the tokens in one event, which engines don't report.
 
 /// Ended generations that count; some minutes of one instance, and enough for a steady slope.
 const SPAN: f64 = 200.0;
-/// Weight of the first assumption, that estimates are right, in generations.
+/// Weight of the prior, that estimates are right, in generations.
 const PRIOR: f64 = 10.0;
-/// Variance of estimates' logarithms that goes with it.
+/// Variance of the estimates' logarithms under the prior.
 const PRIOR_VARIANCE: f64 = 0.5;
-/// Generations before the tokens in an event are told.
+/// Generations that must have ended before the tokens in an event are estimated.
 const ENOUGH: f64 = 10.0;
 
 /// What has been learned of one service's generations.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OutputEstimate {
     count: f64,
-    /// Mean logarithms.
+    /// Mean logarithms of the callers' estimates and of the events.
     hint: f64,
     events: f64,
-    /// Variance of estimates' logarithms, and their covariance with those of events.
+    /// Variance of the estimates' logarithms, and their covariance with those of events.
     variance: f64,
     covariance: f64,
 }
 
 impl OutputEstimate {
-    /// A generation that was estimated at `hint` tokens ended whole after so many events.
+    /// Learns from a complete generation that its caller estimated at `hint` tokens and that came in so many
+    /// events.
     pub fn learn(&mut self, hint: u64, events: u32) {
         if hint == 0 || events == 0 {
             return;
@@ -42,18 +44,18 @@
         self.covariance = (1.0 - weight) * (self.covariance + weight * hint * events);
     }
 
-    /// Expected tokens of a generation that is estimated at `hint`.
+    /// Expected tokens of a generation that its caller estimates at `hint`.
     pub fn predict(&self, hint: u64) -> u64 {
         if self.count == 0.0 || hint == 0 {
             return hint;
         }
         let prior = PRIOR * PRIOR_VARIANCE;
         let slope = (self.covariance * self.count + prior) / (self.variance * self.count + prior);
-        let off = (hint as f64).ln() - self.hint;
-        (self.hint + slope.clamp(0.0, 1.0) * off).exp().round() as u64
+        let deviation = (hint as f64).ln() - self.hint;
+        (self.hint + slope.clamp(0.0, 1.0) * deviation).exp().round() as u64
     }
 
-    /// Tokens that so many events stand for, if enough has been learned.
+    /// Estimated tokens in so many events; `None` until enough generations have ended.
     pub fn tokens_for_events(&self, events: u32) -> Option<u64> {
         let tokens = (self.hint - self.events).exp() * f64::from(events);
         (self.count >= ENOUGH).then_some(tokens.round() as u64)
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -1,7 +1,7 @@
-//! One numbered configuration version: routes, services and limits, indexed for look-up by host and path.
+//! One numbered configuration version: routes, services and limits, indexed for lookup by host and path.
 //!
-//! A version is immutable once read and shared by reference, so that a request sees one version from its
-//! arrival to its end, whatever arrives in between.
+//! A version is immutable once read, and shared by reference. A request therefore sees one version from its
+//! arrival to its end, whichever versions arrive meanwhile.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,21 +11,22 @@
 use serde::{Deserialize, Serialize};
 use teaselshunt_teams::Teams;
 
-/// What may be repeated of a route's requests.
+/// How far a route's requests may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
     Once,
-    /// A stream of events, which runs at most once; a resumable one may go on elsewhere after its last event.
+    /// A stream of events, which runs at most once; a resumable one may continue at another endpoint after
+    /// its last event.
     Stream {
-        /// Whether another endpoint may take the stream up.
+        /// Whether another endpoint may resume the stream.
         resumable: bool,
     },
 }
 
-/// Where requests of a host and path prefix go, and under which terms.
+/// Where requests of a host and path prefix go, and under which conditions.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Route {
     /// Name that operators use.
@@ -34,17 +35,17 @@
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How far its requests may be sent again.
     pub repeat: Repeat,
-    /// Longest time that a caller is kept waiting for its whole answer.
+    /// Longest time that a caller waits for its complete response.
     pub timeout: Duration,
-    /// Time to the answer, or to the first event, that callers aim for.
+    /// Latency goal of callers for the response, or for the first event of a stream.
     pub goal: Duration,
-    /// Longest pause between events of a stream that callers aim for.
+    /// Callers' goal for the longest pause between events of a stream.
     pub gap: Option<Duration>,
     /// Most endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Rank of its requests, where 0 is first.
+    /// Priority of its requests, where 0 is the highest.
     pub priority: u8,
     /// Whether callers need no key.
     pub public: bool,
@@ -52,20 +53,21 @@
     pub targets: Vec<(Arc<str>, u32)>,
 }
 
-/// Shortest time without an event after which callers leave a stream; and the same in aims for the first event and in
-/// longest pauses between events. The longest of the three counts. From the platform's description of its callers.
-const LEAVING: Duration = Duration::from_secs(2);
-const LEAVING_GOALS: u32 = 4;
-const LEAVING_GAPS: u32 = 8;
+/// Shortest time without an event after which callers leave a stream; the next two constants give the same
+/// time in latency goals for the first event and in gap goals. The longest of the three counts. The values
+/// come from the platform's description of its callers.
+const ABANDON_TIMEOUT_MIN: Duration = Duration::from_secs(2);
+const ABANDON_TIMEOUT_GOALS: u32 = 4;
+const ABANDON_TIMEOUT_GAPS: u32 = 8;
 
 impl Route {
     /// Time without an event after which callers leave a stream.
     pub fn abandon_timeout(&self) -> Duration {
-        let gaps = self.gap.map_or(Duration::ZERO, |gap| gap * LEAVING_GAPS);
-        LEAVING.max(self.goal * LEAVING_GOALS).max(gaps)
+        let gaps = self.gap.map_or(Duration::ZERO, |gap| gap * ABANDON_TIMEOUT_GAPS);
+        ABANDON_TIMEOUT_MIN.max(self.goal * ABANDON_TIMEOUT_GOALS).max(gaps)
     }
 
-    /// Draws a service by weight.
+    /// Picks a service at random, by weight.
     pub fn pick_service(&self, rng: &mut impl Rng) -> Option<&Arc<str>> {
         let total: u32 = self.targets.iter().map(|t| t.1).sum();
         if total == 0 {
@@ -73,35 +75,35 @@
         }
         let mut draw = rng.random_range(0..total);
         self.targets.iter().find_map(|(service, weight)| {
-            let hit = draw < *weight;
+            let picked = draw < *weight;
             draw = draw.saturating_sub(*weight);
-            hit.then_some(service)
+            picked.then_some(service)
         })
     }
 }
 
-/// What a service's endpoints are.
+/// Properties of a service's endpoints.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Service {
     /// Name.
     pub name: Arc<str>,
-    /// Connections that one endpoint accepts from all instances together; 0 where nothing is said.
+    /// Connections that one endpoint accepts from all instances together; 0 if no limit is given.
     pub connections: u32,
-    /// Set where the endpoints are model engines.
+    /// Set if the endpoints are model engines.
     pub engine: Option<Engine>,
 }
 
-/// Part of the connections that an endpoint accepts which may be idle; the rest is for requests in progress and for
-/// instances that are not known yet.
-const IDLE_PART: f64 = 0.6;
+/// Fraction of the connections that an endpoint accepts which may be idle; the rest is for requests in
+/// progress and for instances that are not known yet.
+const IDLE_FRACTION: f64 = 0.6;
 
 impl Service {
     /// Idle connections to one endpoint that each of so many instances may keep, one at least.
     ///
-    /// An endpoint resets connections beyond its limit, whoever made them, and a request that may run once is then lost.
-    /// Idle connections of many instances alone could reach it.
+    /// An endpoint resets connections beyond its limit, whichever instance opened them, and a non-idempotent
+    /// request on such a connection is lost. Idle connections of many instances alone could reach the limit.
     pub fn max_idle_connections(&self, instances: usize) -> usize {
-        let share = f64::from(self.connections) * IDLE_PART / instances.max(1) as f64;
+        let share = f64::from(self.connections) * IDLE_FRACTION / instances.max(1) as f64;
         if self.connections == 0 { usize::MAX } else { (share as usize).max(1) }
     }
 }
@@ -109,18 +111,18 @@
 /// The common properties of a service's model engines.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Engine {
-    /// Memory for tokens.
+    /// Memory of an engine, in tokens.
     pub tokens: u64,
-    /// Longest reservation of room.
+    /// Longest time for which an engine holds a reservation.
     pub hold: Duration,
 }
 
 /// What a caller may send, and how long it may take.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub head: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub body: usize,
     /// Longest time for a whole request to arrive.
     pub arrival: Duration,
@@ -135,7 +137,7 @@
     pub version: u64,
     /// Limits for callers.
     pub limits: Limits,
-    /// Who may call routes that are not public; `None` where anybody may.
+    /// Teams whose callers may use routes that are not public; `None` if every caller may.
     pub teams: Option<Teams>,
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, Arc<Service>>,
@@ -155,7 +157,7 @@
         Self { version, limits, teams: None, hosts, services }
     }
 
-    /// The same with teams: only their callers, and callers of public routes, are served.
+    /// Sets the teams: only their callers, and callers of public routes, are served.
     #[must_use]
     pub fn with_teams(self, teams: Option<Teams>) -> Self {
         Self { teams, ..self }
--- a/crates/routing/src/sends.rs
+++ b/crates/routing/src/sends.rs
@@ -1,8 +1,9 @@
-//! What the sends of one generation cost.
+//! How the sends of one generation are charged.
 //!
-//! The first call by which an engine has the prompt read is free, and one send for the run needs no repeat. Each further
-//! send that counts is one repeat: of the route's `attempts`, and of the service's budget, whatever it was for. It is paid
-//! when something is sent after it, and paid once: a prompt that was read at the second try has paid for the run as well.
+//! The first prefill call and one send for the run are free. Each further send counts as one second attempt,
+//! whatever it was for: against the route's `attempts`, and against the service's retry budget. A counted
+//! send is charged when something is sent after it, and charged once: a prompt that was prefilled by the
+//! second attempt has paid for the run as well.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,7 +14,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sends {
     counted: u32,
-    paid: u32,
+    charged: u32,
 }
 
 impl Sends {
@@ -22,12 +23,13 @@
         self.counted += 1;
     }
 
-    /// How many count.
+    /// How many sends count.
     pub const fn counted(self) -> u32 {
         self.counted
     }
 
-    /// Whether the route allows one more send, and the budget of the service pays for what came before it.
+    /// Whether the route allows one more send, and the service's budget covers the sends before it. Charges
+    /// these to the budget.
     pub fn may_send(
         &mut self,
         now: Instant,
@@ -41,11 +43,11 @@
         if self.counted >= attempts {
             return false;
         }
-        while self.paid < self.counted {
+        while self.charged < self.counted {
             if !budgets.take(now, service) {
                 return false;
             }
-            self.paid += 1;
+            self.charged += 1;
         }
         true
     }
