--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -174,7 +174,7 @@
     removed: Removed,
     /// Until when entries of removed endpoints may come from a restored list.
     restored_until: Option<Instant>,
-    /// Until when the list only_limited doesn't determine which endpoints are in use.
+    /// Until when the list alone doesn't determine which endpoints are in use.
     uncertain_until: Option<Instant>,
     ledger: Ledger<SocketAddr>,
     rates: Rates<SocketAddr>,
@@ -191,8 +191,8 @@
     /// previous incarnation are ignored.
     pub fn upsert(&mut self, mut endpoint: Endpoint) -> UpsertOutcome {
         let was_leaving = self.removed.was_leaving(&endpoint.incarnation());
-        // Without a start time the entry may belong to another incarnation, and only time tells it from an entry of a
-        // restored list (`stale_until`).
+        // Without a start time the entry may belong to another incarnation, and only time tells it from an
+        // entry of a restored list (`stale_until`).
         if was_leaving == Some(true) && endpoint.born.is_some() {
             endpoint.state = EndpointState::Leaving;
         }
@@ -327,7 +327,7 @@
         self.by_id.keys().filter(|id| !present.contains(*id)).cloned().collect()
     }
 
-    /// Whether the list only_limited determines which endpoints are in use, so that another instance can rely
+    /// Whether the list alone determines which endpoints are in use, so that another instance can rely
     /// on it.
     pub fn all_confirmed(&self, now: Instant) -> bool {
         self.uncertain_until.is_none_or(|until| now >= until)
--- a/crates/routing/src/snapshot_sources.rs
+++ b/crates/routing/src/snapshot_sources.rs
@@ -1,13 +1,16 @@
-//! Where an instance gets the list of endpoints that it has not.
+//! Where an instance gets the complete list of endpoints from.
 //!
-//! An instance that starts, or whose place in the store's history is lost, needs the whole list. Read from the store that is
-//! some thirty calls and two megabytes for each instance where endpoints are thousands: hundreds that start at once take
-//! all calls and the whole link of the store for many seconds, and nobody hears of a change meanwhile. So those who read the
-//! store for a failure domain read the list too, and the others copy it from peers of their domain. Whoever has a copy gives it on, so
-//! that the number of holders multiplies with each round and the time grows with the logarithm of a domain's instances.
+//! An instance that starts, or that can't continue from its revision of the store, needs the complete list.
+//! Read from the store that is some thirty calls and two megabytes for each instance where endpoints are
+//! thousands. Hundreds of instances that start at once would take all calls and the whole link of the store
+//! for many seconds, and no instance would receive a change meanwhile. So the store readers of a failure
+//! domain read the list too, and the others get a snapshot of it from peers of their domain. An instance with
+//! a snapshot passes it on, so that the number of sources multiplies with each round and the time grows with
+//! the logarithm of a domain's instances.
 //!
-//! Nobody waits for ever: an instance that finds no holder for a while reads the store itself. A copy is as good as the
-//! revision and the age that it bears; [`Freshness`](crate::Freshness) judges it like any other word of a peer.
+//! Every wait is bounded: an instance that finds no source for a while reads the store itself. A snapshot is
+//! as good as the revision and the age that it carries; [`Freshness`](crate::Freshness) treats it like any
+//! other update of a peer.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -18,40 +21,41 @@
 
 use crate::{Era, EraOrder, UpdateSource};
 
-/// Time after the start until an instance has heard who else is in its domain, and so whether it reads the store for others.
-const SETTLED: Duration = Duration::from_secs(1);
+/// Time after the start until an instance has discovered the others in its domain, and so whether it is a
+/// store reader.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// What to do next for a list that is missing.
+/// What to do next to get a missing list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SnapshotStep<P> {
-    /// Ask this peer for a copy.
+    /// Ask this peer for a snapshot.
     Peer(P),
-    /// Look again in a moment.
+    /// Poll again in a moment.
     Wait,
     /// Read the store.
     Store,
 }
 
-/// A list that is missing here.
+/// The search of an instance for a snapshot of the list.
 #[derive(Debug, Clone)]
 pub struct SnapshotSearch<P> {
     /// Era of the store.
     pub era: Era,
     /// Only a list of a later revision is of use.
     pub newer_than: Option<u64>,
-    /// Peers that could not give it a moment ago.
+    /// Peers that could not serve a snapshot a moment ago.
     pub tried: Vec<P>,
-    /// For how long it has been missing.
+    /// For how long the list has been missing.
     pub missing_for: Duration,
-    /// For how long to look for a holder that can give it now.
+    /// For how long to wait while the known sources are all busy.
     pub busy_timeout: Duration,
-    /// For how long to look while nobody is known to have it.
+    /// For how long to wait while no source is known.
     pub no_source_timeout: Duration,
     /// Time since this instance started.
     pub uptime: Duration,
 }
 
-/// Peers of the same failure domain that have the whole list, and up to which revision.
+/// Peers of the same failure domain that have the complete list, and up to which revision.
 #[derive(Debug)]
 pub struct SnapshotSources<P> {
     known: HashMap<P, (Era, u64)>,
@@ -64,7 +68,7 @@
 }
 
 impl<P: Copy + Eq + Hash + Ord> SnapshotSources<P> {
-    /// A peer says up to which revision it has the list; `None` if it has not.
+    /// Records up to which revision a peer has the list; `None` if it doesn't have it.
     pub fn observe(&mut self, peer: P, era: Era, revision: Option<u64>) {
         match revision {
             Some(revision) => self.known.insert(peer, (era, revision)),
@@ -72,9 +76,9 @@
         };
     }
 
-    /// Forgets peers that are not heard any more.
-    pub fn retain(&mut self, is_heard: impl Fn(P) -> bool) {
-        self.known.retain(|&peer, _| is_heard(peer));
+    /// Removes peers that are unresponsive.
+    pub fn retain(&mut self, is_responsive: impl Fn(P) -> bool) {
+        self.known.retain(|&peer, _| is_responsive(peer));
     }
 
     /// Whether none is known.
@@ -82,7 +86,7 @@
         self.known.is_empty()
     }
 
-    /// What to do next for a missing list, for an instance that gets its news from `source`.
+    /// The next step for an instance that gets its updates from `source`.
     pub fn next(
         &self,
         search: &SnapshotSearch<P>,
@@ -93,8 +97,8 @@
             return SnapshotStep::Peer(peer);
         }
         let waits = match source {
-            UpdateSource::Alone | UpdateSource::Reader => search.uptime < SETTLED,
-            UpdateSource::Peers if self.fitting(search).next().is_some() => {
+            UpdateSource::Alone | UpdateSource::Reader => search.uptime < SETTLE_TIME,
+            UpdateSource::Peers if self.usable(search).next().is_some() => {
                 search.missing_for < search.busy_timeout
             }
             UpdateSource::Peers => search.missing_for < search.no_source_timeout,
@@ -102,15 +106,15 @@
         if waits { SnapshotStep::Wait } else { SnapshotStep::Store }
     }
 
-    /// Any of those that have it, so that not all ask the same.
+    /// Chooses a source at random, so that not all instances ask the same one.
     fn choose(&self, search: &SnapshotSearch<P>, rng: &mut impl Rng) -> Option<P> {
-        self.fitting(search).filter(|peer| !search.tried.contains(peer)).choose(rng)
+        self.usable(search).filter(|peer| !search.tried.contains(peer)).choose(rng)
     }
 
-    fn fitting(&self, search: &SnapshotSearch<P>) -> impl Iterator<Item = P> {
-        let (known, beyond) = (search.era, search.newer_than);
+    fn usable(&self, search: &SnapshotSearch<P>) -> impl Iterator<Item = P> {
+        let (known, newer_than) = (search.era, search.newer_than);
         let fits = move |era: Era, revision: u64| {
-            era.compare(known) == EraOrder::Same && beyond.is_none_or(|beyond| revision > beyond)
+            era.compare(known) == EraOrder::Same && newer_than.is_none_or(|newer_than| revision > newer_than)
         };
         self.known.iter().filter(move |&(_, &(era, revision))| fits(era, revision)).map(|(&peer, _)| peer)
     }
