--- a/crates/routing/src/peers.rs
+++ b/crates/routing/src/peers.rs
@@ -1,16 +1,18 @@
-//! Which other instances there are, as far as they have been heard, and when each is told something next.
+//! Which other instances there are, as far as they were observed, and when each is sent the next update.
 //!
-//! Only peers that were heard themselves, and lately, are named to others. If whoever is known were named, a dead one
-//! would be handed round for ever: each instance would forget it and hear of it again from another that has not yet.
+//! Only peers that were observed by the instance itself, and lately, are named to others. If every known peer
+//! were named, a dead one would circulate for ever: each instance would remove it and learn of it again from
+//! another that has not removed it yet.
 //!
-//! Where there are many, each round tells some of them, those of the same failure domain first: what others have in flight
-//! matters where one's own work goes. How long a peer waits for its turn grows with their number, so that no fixed silence
-//! tells a slow turn from a death. Each telling therefore says when the next is due, and a peer counts as silent when it has
-//! missed some.
+//! Where there are many peers, each round sends an update to some of them, those of the same failure domain
+//! first: what others have in flight matters where an instance's own work goes. The gossip interval grows
+//! with the number of peers, so that no fixed failure timeout tells a long interval from a failure. Each
+//! update therefore carries the sender's gossip interval, and a peer counts as unresponsive when it has
+//! missed several of them.
 //!
-//! A peer is named first those of its own failure domain that read the platform's store for it, as far as is known here:
-//! they have the lowest addresses ([`UpdateSource`](crate::UpdateSource)). Among hundreds of instances that is how one that starts soon
-//! knows that it does not read itself.
+//! The peers named to a peer start with those of its own failure domain that read the platform's store for
+//! it, as far as is known here: they have the lowest addresses ([`UpdateSource`](crate::UpdateSource)). Among
+//! hundreds of instances this is how one that starts soon knows that it is not a reader itself.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
@@ -19,53 +21,60 @@
 use rand::Rng;
 use rand::seq::{IteratorRandom, SliceRandom};
 
-/// Shortest silence after which a peer is forgotten.
-const FORGET: Duration = Duration::from_secs(5);
-/// The same as a multiple of the silence after which it is not named any more.
-const FORGET_PART: u32 = 2;
-/// Longest time between two tellings of a peer; under a third of the silence after which what it was told counts as
-/// ended ([`Ledger`](crate::Ledger)).
+/// Shortest time without an update after which a peer is removed.
+const REMOVE_AFTER_MIN: Duration = Duration::from_secs(5);
+/// The same as a multiple of the failure timeout.
+const REMOVE_AFTER_TIMEOUTS: u32 = 2;
+/// Longest time between two updates to a peer; under a third of the failure timeout, after which the work in
+/// the last update counts as ended ([`Ledger`](crate::Ledger)).
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(450);
-/// Shortest time between two tellings of a peer in the same failure domain. A prefill lasts some four of these.
-const NEAR: Duration = Duration::from_millis(25);
-/// Added to it for each peer, so that what an instance sends and reads does not grow with the square of their number.
-const NEAR_PEER: Duration = Duration::from_millis(1);
-/// Peers in other failure domains get as many tellings as so many would, however many there are. Work stays in its domain as
-/// long as there is room, so that what others have in flight matters there only in an overflow, and bytes between domains
-/// are dear where instances are many. But in a burst three of four asks go to other domains, and engines there are believed
-/// emptier than they are for as long as tellings take. With a third of these tellings, callers of four deployments of 68 to
-/// 195 instances were refused and preempted more often, for bytes that only one of them pays dearly (35 pairs). Where peers
-/// are few, all are told alike: with 108 ms in place of 33 ms between two tellings, two sites of seven and nine instances lost
-/// some 0.006 of worth (40 pairs).
-const FAR: f64 = 48.0;
-/// Peers that are told something at a time; more are told by turns.
+/// Shortest time between two updates to a peer in the same failure domain. A prefill lasts some four of
+/// these.
+const NEAR_INTERVAL: Duration = Duration::from_millis(25);
+/// Added to it for each peer, so that what an instance sends and reads does not grow with the square of their
+/// number.
+const NEAR_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
+/// Peers in other failure domains get as many updates together as this number of peers would, however many
+/// they are.
+///
+/// Work stays in its domain as long as there is capacity, so that what others have in flight there matters
+/// only when work overflows into other domains, and bytes between domains are expensive where instances are
+/// many. But in a burst three of four attempts to reserve go to other domains, and engines there look emptier
+/// than they are for the length of the gossip delay. With a third of these updates, callers of four
+/// deployments of 68 to 195 instances were refused and preempted more often, for bytes that are expensive for
+/// only one of the deployments (35 pairs of runs). Where peers are few, all get updates at the same interval:
+/// with 108 ms in place of 33 ms between two updates, two sites of seven and nine instances lost some 0.006
+/// of worth (40 pairs of runs).
+const FAR_EQUIVALENT_PEERS: f64 = 48.0;
+/// Peers that are sent an update in one round; more of them take turns.
 const FANOUT: usize = 80;
-/// Those of other failure domains among them, at least, where more wait.
+/// Those of other failure domains among them, at least, if more are due.
 const FANOUT_FAR: usize = 36;
 
-/// Peers of a failure domain that are named to all of it: those that read the store, as few as there are.
-const FIRSTS: usize = 2;
+/// Peers of a failure domain that are named to all of it: the store readers, which are few.
+const NAMED_READERS: usize = 2;
 /// Other peers of its own failure domain that are named to a peer.
 const NAMED_NEAR: usize = 2;
-/// Peers of any failure domain that are named besides.
-const NAMED: usize = 2;
-/// Shortest silence after which a peer is not named to others any more, and what it told counts as ended; some heartbeats.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// Tellings that a peer must have missed besides.
-const MISSED: u32 = 3;
+/// Peers of any failure domain that are named in addition.
+const NAMED_ANY: usize = 2;
+/// Shortest failure timeout, after which a peer is not named to others any more, and the work that it
+/// reported counts as ended; some heartbeat intervals.
+const FAILURE_TIMEOUT_MIN: Duration = Duration::from_millis(1500);
+/// Gossip intervals that a peer must also have missed to be unresponsive.
+const MISSED_INTERVALS: u32 = 3;
 
 #[derive(Debug, Clone, Copy)]
 struct Peer {
-    /// When it was last heard, or named by another if it was never heard.
-    at: Instant,
-    /// Whether it was heard itself.
-    direct: bool,
-    /// Tag of its failure domain, once it was heard.
+    /// When it was last observed, or first named by another peer if it was never observed.
+    seen: Instant,
+    /// Whether it was observed itself.
+    observed: bool,
+    /// Tag of its failure domain, once it was observed.
     domain: Option<u32>,
-    /// Silence after which it counts as gone.
-    silence: Duration,
-    /// When it was told something last.
-    told: Option<Instant>,
+    /// Time without an update after which it is unresponsive.
+    failure_timeout: Duration,
+    /// When it was last sent an update.
+    sent: Option<Instant>,
 }
 
 /// Other instances; `P` is an address.
@@ -77,107 +86,121 @@
 }
 
 impl<P: Copy + Eq + Hash + Ord> Peers<P> {
-    /// None are known yet to an instance in this failure domain.
+    /// No peers, for an instance in this failure domain.
     pub fn new(domain: u32) -> Self {
         Self { domain, known: HashMap::new() }
     }
 
-    /// A peer of a failure domain was heard, which says after which time it tells something again at the latest. Says
-    /// whether it was heard for the first time.
-    pub fn observe(&mut self, now: Instant, peer: P, domain: u32, next: Duration) -> bool {
-        let told = self.known.get(&peer).and_then(|before| before.told);
-        let silence = failure_timeout(next);
-        let heard = Peer { at: now, direct: true, domain: Some(domain), silence, told };
-        self.known.insert(peer, heard).is_none_or(|before| !before.direct)
+    /// Records an update from a peer of a failure domain, and the peer's gossip interval. Returns whether
+    /// this is the first update from the peer.
+    pub fn observe(&mut self, now: Instant, peer: P, domain: u32, interval: Duration) -> bool {
+        let sent = self.known.get(&peer).and_then(|before| before.sent);
+        let failure_timeout = failure_timeout(interval);
+        let observed = Peer { seen: now, observed: true, domain: Some(domain), failure_timeout, sent };
+        self.known.insert(peer, observed).is_none_or(|before| !before.observed)
     }
 
-    /// A peer was named by another.
+    /// Adds a peer that another peer named, if it is not known.
     pub fn add_reported(&mut self, now: Instant, peer: P) {
         self.known.entry(peer).or_insert(Peer {
-            at: now,
-            direct: false,
+            seen: now,
+            observed: false,
             domain: None,
-            silence: SILENCE,
-            told: None,
+            failure_timeout: FAILURE_TIMEOUT_MIN,
+            sent: None,
         });
     }
 
-    /// Forgets silent peers, and returns those that had been heard.
+    /// Removes peers that have been unresponsive for long, and returns those that had been observed.
     pub fn remove_unresponsive(&mut self, now: Instant) -> Vec<P> {
-        let silent = |peer: &Peer| now.duration_since(peer.at) >= FORGET.max(peer.silence * FORGET_PART);
-        let gone = self.known.iter().filter(|(_, p)| silent(p) && p.direct).map(|(&p, _)| p).collect();
-        self.known.retain(|_, peer| !silent(peer));
-        gone
+        let expired = |peer: &Peer| {
+            now.duration_since(peer.seen)
+                >= REMOVE_AFTER_MIN.max(peer.failure_timeout * REMOVE_AFTER_TIMEOUTS)
+        };
+        let removed = self.known.iter().filter(|(_, p)| expired(p) && p.observed).map(|(&p, _)| p).collect();
+        self.known.retain(|_, peer| !expired(peer));
+        removed
     }
 
-    /// Peers to name to others.
+    /// Responsive peers, which are named to others.
     pub fn responsive(&self, now: Instant) -> impl Iterator<Item = P> {
-        let fresh = move |peer: &Peer| peer.direct && now.duration_since(peer.at) < peer.silence;
-        self.known.iter().filter(move |(_, peer)| fresh(peer)).map(|(&p, _)| p)
+        let responsive =
+            move |peer: &Peer| peer.observed && now.duration_since(peer.seen) < peer.failure_timeout;
+        self.known.iter().filter(move |(_, peer)| responsive(peer)).map(|(&p, _)| p)
     }
 
-    /// Peers of the same failure domain that were heard lately.
+    /// Responsive peers of the same failure domain.
     pub fn responsive_in_domain(&self, now: Instant) -> impl Iterator<Item = P> {
         self.of_domain(now, self.domain)
     }
 
     fn of_domain(&self, now: Instant, domain: u32) -> impl Iterator<Item = P> {
-        let fits =
-            move |peer: &Peer| peer.domain == Some(domain) && now.duration_since(peer.at) < peer.silence;
+        let fits = move |peer: &Peer| {
+            peer.domain == Some(domain) && now.duration_since(peer.seen) < peer.failure_timeout
+        };
         self.known.iter().filter(move |(_, peer)| fits(peer)).map(|(&p, _)| p)
     }
 
-    /// The part of what all instances share that is for those that are heard, this one included: peers that are silent while
-    /// others of their failure domain are heard may go on with theirs. A domain that is silent as a whole is cut off, and
-    /// the endpoints in it as well.
+    /// The fraction of a divided rate, limit or budget that the reachable instances may use, this one
+    /// included. The rest is a reserve for peers that are unresponsive while others of their failure domain
+    /// are reachable, and may go on using their shares. A domain that is unresponsive as a whole is
+    /// partitioned, together with its endpoints, and needs no reserve.
     pub fn reachable_share(&self, now: Instant) -> f64 {
-        let (fresh, silent): (Vec<&Peer>, Vec<&Peer>) = (self.known.values().filter(|peer| peer.direct))
-            .partition(|peer| now.duration_since(peer.at) < peer.silence);
+        let (reachable, unresponsive): (Vec<&Peer>, Vec<&Peer>) =
+            (self.known.values().filter(|peer| peer.observed))
+                .partition(|peer| now.duration_since(peer.seen) < peer.failure_timeout);
         let present: HashSet<u32> =
-            fresh.iter().filter_map(|peer| peer.domain).chain([self.domain]).collect();
-        let missed = silent.iter().filter(|peer| peer.domain.is_some_and(|domain| present.contains(&domain)));
-        let heard = (fresh.len() + 1) as f64;
-        heard / (heard + missed.count() as f64)
+            reachable.iter().filter_map(|peer| peer.domain).chain([self.domain]).collect();
+        let reserved =
+            unresponsive.iter().filter(|peer| peer.domain.is_some_and(|domain| present.contains(&domain)));
+        let count = (reachable.len() + 1) as f64;
+        count / (count + reserved.count() as f64)
     }
 
-    /// Tag of a peer's failure domain, if it was heard.
+    /// Tag of a peer's failure domain, if the peer was observed.
     pub fn domain_of(&self, peer: P) -> Option<u32> {
         self.known.get(&peer)?.domain
     }
 
-    /// Peers to name to those of a failure domain: the first of that domain, and some others.
+    /// Peers to name to those of a failure domain: the store readers of that domain, and a random sample of
+    /// others.
     pub fn sample_for(&self, now: Instant, domain: Option<u32>, rng: &mut impl Rng) -> Vec<P> {
         let mut named: Vec<P> =
             domain.map(|domain| self.of_domain(now, domain).collect()).unwrap_or_default();
-        let (firsts, most) = (FIRSTS.min(named.len()), named.len().min(FIRSTS + NAMED_NEAR));
+        let (readers, most) = (NAMED_READERS.min(named.len()), named.len().min(NAMED_READERS + NAMED_NEAR));
         named.sort_unstable();
-        named[firsts..].partial_shuffle(rng, most - firsts);
+        named[readers..].partial_shuffle(rng, most - readers);
         named.truncate(most);
-        let rest = self.responsive(now).filter(|peer| !named.contains(peer)).choose_multiple(rng, NAMED);
+        let rest = self.responsive(now).filter(|peer| !named.contains(peer)).choose_multiple(rng, NAMED_ANY);
         named.extend(rest);
         named
     }
 
-    /// Time between two tellings of a peer while there is something new.
-    fn gap(&self, near: bool) -> Duration {
+    /// Time between two updates to a peer while there is something new.
+    fn interval(&self, near: bool) -> Duration {
         let others = self.known.len().min(FANOUT) as u32;
-        let gap = NEAR + NEAR_PEER * others;
-        if near { gap } else { gap.mul_f64((f64::from(others) / FAR).max(1.0)).min(HEARTBEAT_INTERVAL) }
+        let interval = NEAR_INTERVAL + NEAR_INTERVAL_PER_PEER * others;
+        if near {
+            interval
+        } else {
+            interval.mul_f64((f64::from(others) / FAR_EQUIVALENT_PEERS).max(1.0)).min(HEARTBEAT_INTERVAL)
+        }
     }
 
     /// The shortest time after which some peer is due again.
     pub fn min_interval(&self) -> Duration {
-        self.gap(true)
+        self.interval(true)
     }
 
-    /// Peers that are to be told something now, those that have waited longest if there are many.
+    /// Peers that are to be sent an update now, those that have waited longest if there are many; marks them
+    /// as sent.
     pub fn due(&mut self, now: Instant) -> Vec<P> {
-        let (near, far) = (self.gap(true), self.gap(false));
-        let gap = |peer: &Peer| if self.is_far(peer) { far } else { near };
-        let is_due = |peer: &Peer| peer.told.is_none_or(|told| now.duration_since(told) >= gap(peer));
+        let (near, far) = (self.interval(true), self.interval(false));
+        let interval = |peer: &Peer| if self.is_far(peer) { far } else { near };
+        let is_due = |peer: &Peer| peer.sent.is_none_or(|sent| now.duration_since(sent) >= interval(peer));
         let mut due: Vec<P> = self.known.iter().filter(|(_, p)| is_due(p)).map(|(&p, _)| p).collect();
         if due.len() > FANOUT {
-            due.sort_by_cached_key(|&peer| (self.is_far(&self.known[&peer]), self.known[&peer].told, peer));
+            due.sort_by_cached_key(|&peer| (self.is_far(&self.known[&peer]), self.known[&peer].sent, peer));
             let near = due.partition_point(|peer| !self.is_far(&self.known[peer]));
             let (near_slots, far_slots) = slots(near, due.len() - near);
             due.drain(near_slots..near);
@@ -185,7 +208,7 @@
         }
         for peer in &due {
             if let Some(known) = self.known.get_mut(peer) {
-                known.told = Some(now);
+                known.sent = Some(now);
             }
         }
         due
@@ -195,7 +218,7 @@
         peer.domain != Some(self.domain)
     }
 
-    /// After which time a peer of a failure domain is told something again at the latest.
+    /// Longest time until a peer of a failure domain is sent an update again.
     pub fn gossip_interval(&self, domain: Option<u32>) -> Duration {
         let far = self.known.values().filter(|peer| self.is_far(peer)).count();
         let near = self.known.len() - far;
@@ -205,8 +228,9 @@
         (self.min_interval() + self.round_pause(false)) * rounds
     }
 
-    /// How long a round waits for something new. With news that is told for some seconds only (`urgent`) rounds follow one
-    /// another, so that all peers have had their turn by then.
+    /// How long a round waits for something new. While there is something that is only sent for some seconds
+    /// (`urgent`), rounds follow one another without a pause, so that all peers have been sent an update
+    /// within these seconds.
     pub const fn round_pause(&self, urgent: bool) -> Duration {
         if urgent { Duration::ZERO } else { HEARTBEAT_INTERVAL }
     }
@@ -216,24 +240,24 @@
         self.known.contains_key(&peer)
     }
 
-    /// How many are known.
+    /// How many peers are known.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is known.
+    /// Whether no peer is known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 }
 
-/// How many of so many near and far peers are told at a time.
+/// How many of so many near and far peers are sent an update in one round.
 fn slots(near: usize, far: usize) -> (usize, usize) {
     let near_slots = near.min(FANOUT - far.min(FANOUT_FAR));
     (near_slots, far.min(FANOUT - near_slots))
 }
 
-/// Silence after which a peer counts as gone that said when it tells something again at the latest.
-pub fn failure_timeout(next: Duration) -> Duration {
-    SILENCE.max(next * MISSED)
+/// Time without an update after which a peer with this gossip interval counts as unresponsive.
+pub fn failure_timeout(interval: Duration) -> Duration {
+    FAILURE_TIMEOUT_MIN.max(interval * MISSED_INTERVALS)
 }
--- a/crates/routing/src/rates.rs
+++ b/crates/routing/src/rates.rs
@@ -1,20 +1,23 @@
-//! Rates that endpoints name, kept over many instances that agree on nothing.
+//! Rates that endpoints advertise, kept over many instances without coordination.
 //!
-//! An endpoint in need says in its answers how many requests a second it takes from all instances together, and says it only
-//! to those that happen to ask. Instances pass on what they were told, with its age: the newest word counts, so that a word
-//! that arrives late takes nothing back. Each keeps an account by endpoint: a level that refills with the rate, and from
-//! which its own sends and those that others tell are taken. What others send is known one telling late.
+//! An overloaded endpoint advertises in its responses how many requests a second it takes from all instances
+//! together. Only the instances that happen to send it requests receive these responses. Instances report to
+//! one another what they observed, with its age. The newest observation counts, so that one that arrives late
+//! reverts nothing. Each instance keeps a token bucket for each rate-limited endpoint. Its level refills with
+//! the rate, and the instance's own sends and those that others report are charged to it. Sends of others are
+//! known after the gossip delay.
 //!
-//! If each instance sent whenever the level is above zero, all of them would at the same moment, and the endpoint would get
-//! what all callers ask in the time of a telling. So the level admits a part of the requests that grows with it
-//! ([`Pacing::Proportional`]): it settles where what is admitted is what refills, and hundreds of instances together send a
-//! steady stream and no bursts. Nobody needs to know how many they are or how much the others ask.
+//! If each instance sent whenever the level is above zero, all of them would send at the same moment, and the
+//! endpoint would get all callers' requests of one gossip delay. So the level admits a share of the requests
+//! that grows with it ([`Pacing::Proportional`]). The level settles where the admitted rate equals the refill
+//! rate, and hundreds of instances together send a steady stream without bursts. No instance needs to know
+//! how many instances there are or how many requests the others have.
 //!
 //! Invariants:
-//! - a rate belongs to one start of an endpoint and goes with it;
-//! - a rate of nothing, or of almost nothing, still lets a request through now and then, since nobody else would hear that
-//!   it has ended;
-//! - a rate is no failure: it says nothing of how well its endpoint is.
+//! - a rate belongs to one incarnation of an endpoint and is removed with it;
+//! - a rate of zero, or of almost zero, still admits a request now and then, since no instance would
+//!   otherwise learn that the rate has ended;
+//! - a rate is no failure: it says nothing about the health of its endpoint.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -22,35 +25,37 @@
 
 use crate::EngineTag;
 
-/// Lowest rate that is kept to, in requests a second.
+/// Lowest rate that is enforced, in requests a second.
 const RATE_MIN: f64 = 0.2;
 /// Highest rate that limits anything, in requests a second.
 const RATE_MAX: f64 = 1e6;
-/// Most that may come at once after a quiet time, in requests and, besides, in seconds of the rate.
+/// Largest burst after an idle time: a number of requests, plus a number of seconds of the rate.
 const BURST: (f64, f64) = (2.0, 0.5);
-/// Level from which on all requests are admitted, as a part of the burst.
-const AMPLE: f64 = 0.6;
-/// Deepest debt, in requests and, besides, in seconds of the rate.
-const DEBT: (f64, f64) = (5.0, 4.0);
-/// Change of a rate that is news, as a part of it.
-const CHANGED: f64 = 0.01;
-/// Time for which something is told again, since tellings are lost; some heartbeats of a peer among hundreds.
-const RETELL: Duration = Duration::from_secs(3);
-/// Time over which own sends are told to whoever hears of them from this instance for the first time.
-const RECENT: Duration = Duration::from_secs(4);
-/// Time without a word after which the rate of an endpoint that is not listed is forgotten.
-const UNLISTED: Duration = Duration::from_mins(1);
-/// Most endpoints that are told of at a time.
-const TELLING_MAX: usize = 64;
-
-/// How the accounts of different instances hang together; the module's head weighs them.
+/// Level from which on all requests are admitted, as a fraction of the burst.
+const FULL_ADMISSION_FRACTION: f64 = 0.6;
+/// Largest debt: a number of requests, plus a number of seconds of the rate.
+const DEBT_MAX: (f64, f64) = (5.0, 4.0);
+/// Smallest change of a rate that is reported as a change, as a fraction of the rate.
+const CHANGE_MIN_FRACTION: f64 = 0.01;
+/// Time for which something is reported repeatedly, since updates are lost; some gossip intervals among
+/// hundreds of instances.
+const REPORT_TIME: Duration = Duration::from_secs(3);
+/// Time for which own sends count as recent; a receiver that gets its first report from this instance charges
+/// the recent sends.
+const RECENT_TIME: Duration = Duration::from_secs(4);
+/// Time without an observation after which the rate of an endpoint that is not listed is removed.
+const UNLISTED_TTL: Duration = Duration::from_mins(1);
+/// Most endpoints that are reported at a time.
+const REPORTS_MAX: usize = 64;
+
+/// How the token buckets of different instances are related; the module's documentation compares the ways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Pacing {
-    /// Each instance has an equal part of each rate, whatever the others send.
+    /// Each instance has an equal share of each rate, whatever the others send.
     Parts,
-    /// One level that all know, from which all take while there is anything.
+    /// One level that all instances know, and that all charge while it is not used up.
     Level,
-    /// The same level, which admits a part of the requests in proportion to it.
+    /// The same level, which admits a share of the requests in proportion to it.
     #[default]
     Proportional,
 }
@@ -58,98 +63,98 @@
 /// What changed in an endpoint's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RateChange {
-    /// It names one, or another one.
+    /// The endpoint advertises a rate, or another one than before.
     Limited(f64),
-    /// It names none any more.
+    /// The endpoint advertises no rate any more.
     Ended,
 }
 
-/// What an instance tells others of an endpoint that names a rate, or did so lately.
+/// What an instance reports to others about an endpoint that advertises a rate, or did so lately.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateReport {
     /// The endpoint.
     pub endpoint: EngineTag,
-    /// What it told the sender last, if that was lately.
+    /// What the sender last observed itself, if that was lately.
     pub observation: Option<RateObservation>,
-    /// Requests that the sender sent there since it knows of the rate.
+    /// Requests that the sender has sent there since it learned of the rate.
     pub total: u32,
     /// Those of the last seconds among them.
     pub recent: u32,
 }
 
-/// What an endpoint told an instance.
+/// What an endpoint advertised to an instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateObservation {
-    /// The rate that it named, in requests a second, or none.
+    /// The advertised rate, in requests a second; `None` for no rate.
     pub rate: Option<f64>,
     /// How long ago.
     pub age: Duration,
 }
 
 #[derive(Debug)]
-struct Account<P> {
+struct TokenBucket<P> {
     /// In requests a second.
     rate: f64,
-    /// When the endpoint said so, by the newest word.
-    said: Instant,
-    /// When it last told this instance itself.
-    direct: Option<Instant>,
+    /// When the endpoint advertised it, by the newest observation.
+    advertised: Instant,
+    /// When this instance last observed it itself.
+    observed: Option<Instant>,
     /// Requests that may be sent now; below zero after more were sent than the rate allows.
     level: f64,
     /// When the level was last refilled.
-    at: Instant,
-    /// Sent from here.
+    refilled: Instant,
+    /// Requests that this instance has sent.
     total: u32,
     recent: VecDeque<Instant>,
-    /// Life and total of others, as they last told.
-    known: HashMap<P, (u64, u32)>,
+    /// Incarnation and total of other instances, by their last reports.
+    others: HashMap<P, (u64, u32)>,
 }
 
-impl<P: Copy + Eq + Hash> Account<P> {
-    /// Starts empty: what the endpoint got before it named a rate is part of its need.
-    fn new(now: Instant, rate: f64, said: Instant) -> Self {
-        let (known, recent) = (HashMap::new(), VecDeque::new());
-        Self { rate, said, direct: None, level: 0.0, at: now, total: 0, recent, known }
+impl<P: Copy + Eq + Hash> TokenBucket<P> {
+    /// Starts empty: what the endpoint got before it advertised a rate is part of its overload.
+    fn new(now: Instant, rate: f64, advertised: Instant) -> Self {
+        let (others, recent) = (HashMap::new(), VecDeque::new());
+        Self { rate, advertised, observed: None, level: 0.0, refilled: now, total: 0, recent, others }
     }
 
-    /// The level now; `part` of the rate is this side's.
-    fn level(&self, now: Instant, part: f64) -> f64 {
-        let rate = self.rate * part;
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        (self.level + rate * passed).min(burst(rate))
+    /// The level now, which refills with a `share` of the rate.
+    fn level(&self, now: Instant, share: f64) -> f64 {
+        let rate = self.rate * share;
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        (self.level + rate * elapsed).min(burst(rate))
     }
 
-    fn refill(&mut self, now: Instant, part: f64) {
-        self.level = self.level(now, part);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Instant, share: f64) {
+        self.level = self.level(now, share);
+        self.refilled = self.refilled.max(now);
     }
 
-    fn take(&mut self, requests: f64) {
-        self.level = (self.level - requests).max(-(DEBT.0 + self.rate * DEBT.1));
+    fn charge(&mut self, requests: f64) {
+        self.level = (self.level - requests).max(-(DEBT_MAX.0 + self.rate * DEBT_MAX.1));
     }
 
     fn trim(&mut self, now: Instant) {
-        while self.recent.front().is_some_and(|&at| now.saturating_duration_since(at) > RECENT) {
+        while self.recent.front().is_some_and(|&at| now.saturating_duration_since(at) > RECENT_TIME) {
             self.recent.pop_front();
         }
     }
 }
 
-/// Most that an account of this rate may hold.
+/// Highest level of a token bucket of this rate.
 fn burst(rate: f64) -> f64 {
     BURST.0 + rate * BURST.1
 }
 
-/// What one instance knows of the rates that endpoints name. `P` tells instances apart.
+/// What one instance knows of the rates that endpoints advertise. `P` names an instance.
 #[derive(Debug)]
 pub struct Rates<P> {
     pacing: Pacing,
-    accounts: HashMap<EngineTag, Account<P>>,
-    /// When endpoints said that they name none any more, and whether this instance heard it itself.
+    buckets: HashMap<EngineTag, TokenBucket<P>>,
+    /// When endpoints ceased to advertise a rate, and whether this instance observed it itself.
     ended: HashMap<EngineTag, (Instant, bool)>,
-    /// Part of each rate that this side of a cut has.
-    part: f64,
-    /// Instances that are known, this one included.
+    /// Fraction of each rate that the reachable instances may use.
+    reachable_share: f64,
+    /// Known instances, this one included.
     instances: usize,
 }
 
@@ -160,43 +165,45 @@
 }
 
 impl<P> Rates<P> {
-    /// No endpoint names a rate yet.
+    /// No endpoint advertises a rate yet.
     pub fn new(pacing: Pacing) -> Self {
-        Self { pacing, accounts: HashMap::new(), ended: HashMap::new(), part: 1.0, instances: 1 }
+        Self { pacing, buckets: HashMap::new(), ended: HashMap::new(), reachable_share: 1.0, instances: 1 }
     }
 
-    /// How many endpoints name a rate.
+    /// How many endpoints advertise a rate.
     pub fn len(&self) -> usize {
-        self.accounts.len()
+        self.buckets.len()
     }
 
-    /// Whether none does.
+    /// Whether no endpoint advertises a rate.
     pub fn is_empty(&self) -> bool {
-        self.accounts.is_empty()
+        self.buckets.is_empty()
     }
 }
 
 impl<P: Copy + Eq + Hash> Rates<P> {
-    /// So many instances are known, this one included, and `part` of what is divided among all is for those that are heard.
-    pub fn share_among(&mut self, now: Instant, instances: usize, part: f64) {
-        let before = self.own_part();
-        for account in self.accounts.values_mut() {
-            account.refill(now, before);
+    /// Sets the number of known instances, this one included, and the fraction of each rate that the reachable ones
+    /// may use.
+    pub fn share_among(&mut self, now: Instant, instances: usize, reachable_share: f64) {
+        let before = self.own_share();
+        for bucket in self.buckets.values_mut() {
+            bucket.refill(now, before);
         }
         self.instances = instances.max(1);
-        self.part = part;
+        self.reachable_share = reachable_share;
     }
 
-    /// An endpoint's answer names a rate, or none. Says what that changes.
+    /// Applies the rate that an endpoint advertises in a response, or that it advertises none. Returns what
+    /// that changes.
     pub fn observe_response(
         &mut self,
         now: Instant,
         endpoint: EngineTag,
         rate: Option<f64>,
     ) -> Option<RateChange> {
-        let change = self.take_word(now, endpoint, rate, now);
-        if let Some(account) = self.accounts.get_mut(&endpoint) {
-            account.direct = Some(now);
+        let change = self.apply_observation(now, endpoint, rate, now);
+        if let Some(bucket) = self.buckets.get_mut(&endpoint) {
+            bucket.observed = Some(now);
         }
         if change == Some(RateChange::Ended) {
             self.ended.insert(endpoint, (now, true));
@@ -204,162 +211,166 @@
         change
     }
 
-    /// Another instance tells what an endpoint told it. Says what that changes.
+    /// Merges what another instance observed. Returns what that changes.
     pub fn merge_observation(
         &mut self,
         now: Instant,
         endpoint: EngineTag,
-        word: RateObservation,
+        observation: RateObservation,
     ) -> Option<RateChange> {
-        let said = now.checked_sub(word.age)?;
-        self.take_word(now, endpoint, word.rate, said)
+        let advertised = now.checked_sub(observation.age)?;
+        self.apply_observation(now, endpoint, observation.rate, advertised)
     }
 
-    fn take_word(
+    fn apply_observation(
         &mut self,
         now: Instant,
         endpoint: EngineTag,
         rate: Option<f64>,
-        said: Instant,
+        advertised: Instant,
     ) -> Option<RateChange> {
         let Some(rate) = rate else {
-            let account = self.accounts.get(&endpoint)?;
-            if account.said > said {
+            let bucket = self.buckets.get(&endpoint)?;
+            if bucket.advertised > advertised {
                 return None;
             }
-            self.accounts.remove(&endpoint);
-            self.ended.insert(endpoint, (said, false));
+            self.buckets.remove(&endpoint);
+            self.ended.insert(endpoint, (advertised, false));
             return Some(RateChange::Ended);
         };
-        let (kept, part) = (rate.clamp(RATE_MIN, RATE_MAX), self.own_part());
-        let Some(account) = self.accounts.get_mut(&endpoint) else {
-            if self.ended.get(&endpoint).is_some_and(|&(ended, _)| ended >= said) {
+        let (enforced, share) = (rate.clamp(RATE_MIN, RATE_MAX), self.own_share());
+        let Some(bucket) = self.buckets.get_mut(&endpoint) else {
+            if self.ended.get(&endpoint).is_some_and(|&(ended, _)| ended >= advertised) {
                 return None;
             }
             self.ended.remove(&endpoint);
-            self.accounts.insert(endpoint, Account::new(now, kept, said));
+            self.buckets.insert(endpoint, TokenBucket::new(now, enforced, advertised));
             return Some(RateChange::Limited(rate));
         };
-        if account.said > said {
+        if bucket.advertised > advertised {
             return None;
         }
-        account.said = said;
-        let news = (account.rate - kept).abs() > account.rate * CHANGED;
-        if news {
-            account.refill(now, part);
-            account.rate = kept;
-            account.level = account.level.min(burst(kept * part));
+        bucket.advertised = advertised;
+        let changed = (bucket.rate - enforced).abs() > bucket.rate * CHANGE_MIN_FRACTION;
+        if changed {
+            bucket.refill(now, share);
+            bucket.rate = enforced;
+            bucket.level = bucket.level.min(burst(enforced * share));
         }
-        news.then_some(RateChange::Limited(rate))
+        changed.then_some(RateChange::Limited(rate))
     }
 
-    /// Another instance, in this life of it, tells what it has sent to an endpoint.
-    pub fn merge_sends(&mut self, now: Instant, from: P, life: u64, news: RateReport) {
-        let part = self.own_part();
-        let Some(account) = self.accounts.get_mut(&news.endpoint) else { return };
-        let more = match account.known.insert(from, (life, news.total)) {
-            Some((before, total)) if before == life && total <= news.total => news.total - total,
-            Some(_) | None => news.recent.min(news.total),
+    /// Merges the sends to an endpoint that another instance reports, in this incarnation of it.
+    pub fn merge_sends(&mut self, now: Instant, from: P, incarnation: u64, report: RateReport) {
+        let share = self.own_share();
+        let Some(bucket) = self.buckets.get_mut(&report.endpoint) else { return };
+        let added = match bucket.others.insert(from, (incarnation, report.total)) {
+            Some((before, total)) if before == incarnation && total <= report.total => report.total - total,
+            Some(_) | None => report.recent.min(report.total),
         };
-        if self.pacing != Pacing::Parts && more > 0 {
-            account.refill(now, part);
-            account.take(f64::from(more));
+        if self.pacing != Pacing::Parts && added > 0 {
+            bucket.refill(now, share);
+            bucket.charge(f64::from(added));
         }
     }
 
-    /// What others are to be told now.
+    /// What is to be reported to others now.
     pub fn reports(&mut self, now: Instant) -> Vec<RateReport> {
-        if self.accounts.is_empty() && self.ended.is_empty() {
+        if self.buckets.is_empty() && self.ended.is_empty() {
             return Vec::new();
         }
-        let lately = |at: &Instant| now.saturating_duration_since(*at) < RETELL;
+        let lately = |at: &Instant| now.saturating_duration_since(*at) < REPORT_TIME;
         let age = |at: Instant| now.saturating_duration_since(at);
-        let mut news = Vec::new();
-        for (&endpoint, &(at, direct)) in &self.ended {
-            if direct && lately(&at) {
+        let mut reports = Vec::new();
+        for (&endpoint, &(at, observed)) in &self.ended {
+            if observed && lately(&at) {
                 let observation = Some(RateObservation { rate: None, age: age(at) });
-                news.push((at, RateReport { endpoint, observation, total: 0, recent: 0 }));
+                reports.push((at, RateReport { endpoint, observation, total: 0, recent: 0 }));
             }
         }
-        for (&endpoint, account) in &mut self.accounts {
-            account.trim(now);
-            let direct = account.direct.filter(lately);
-            let Some(at) = direct.max(account.recent.back().copied().filter(lately)) else { continue };
-            let observation = direct.map(|at| RateObservation { rate: Some(account.rate), age: age(at) });
-            let recent = account.recent.len() as u32;
-            news.push((at, RateReport { endpoint, observation, total: account.total, recent }));
+        for (&endpoint, bucket) in &mut self.buckets {
+            bucket.trim(now);
+            let observed = bucket.observed.filter(lately);
+            let Some(at) = observed.max(bucket.recent.back().copied().filter(lately)) else { continue };
+            let observation = observed.map(|at| RateObservation { rate: Some(bucket.rate), age: age(at) });
+            let recent = bucket.recent.len() as u32;
+            reports.push((at, RateReport { endpoint, observation, total: bucket.total, recent }));
         }
-        news.sort_by_key(|&(at, _)| std::cmp::Reverse(at));
-        news.into_iter().take(TELLING_MAX).map(|(_, news)| news).collect()
+        reports.sort_by_key(|&(at, _)| std::cmp::Reverse(at));
+        reports.into_iter().take(REPORTS_MAX).map(|(_, report)| report).collect()
     }
 
-    /// Whether an endpoint names a rate.
+    /// Whether an endpoint advertises a rate.
     pub fn is_limited(&self, endpoint: EngineTag) -> bool {
-        self.accounts.contains_key(&endpoint)
+        self.buckets.contains_key(&endpoint)
     }
 
-    /// The part of the requests that may go to an endpoint now, from 0 to 1.
+    /// The share of the requests that may go to an endpoint now, from 0 to 1.
     pub fn admitted_share(&self, now: Instant, endpoint: EngineTag) -> f64 {
-        let Some(account) = self.accounts.get(&endpoint) else { return 1.0 };
-        let part = self.own_part();
-        let level = account.level(now, part);
+        let Some(bucket) = self.buckets.get(&endpoint) else { return 1.0 };
+        let share = self.own_share();
+        let level = bucket.level(now, share);
         match self.pacing {
             Pacing::Parts | Pacing::Level => f64::from(u8::from(level >= 1.0)),
-            Pacing::Proportional => (level / (burst(account.rate * part) * AMPLE)).clamp(0.0, 1.0),
+            Pacing::Proportional => {
+                (level / (burst(bucket.rate * share) * FULL_ADMISSION_FRACTION)).clamp(0.0, 1.0)
+            }
         }
     }
 
-    /// The rate of an endpoint that this side of a cut may use; `None` if it names none.
+    /// The fraction of an endpoint's rate that the reachable instances may use, in requests a second; `None`
+    /// if it advertises none.
     pub fn rate(&self, endpoint: EngineTag) -> Option<f64> {
-        self.accounts.get(&endpoint).map(|account| account.rate * self.part)
+        self.buckets.get(&endpoint).map(|bucket| bucket.rate * self.reachable_share)
     }
 
     /// Requests that may be sent to an endpoint now, for logs.
     pub fn level(&self, now: Instant, endpoint: EngineTag) -> Option<f64> {
-        self.accounts.get(&endpoint).map(|account| account.level(now, self.own_part()))
+        self.buckets.get(&endpoint).map(|bucket| bucket.level(now, self.own_share()))
     }
 
-    /// The part of each rate that refills the accounts here.
-    fn own_part(&self) -> f64 {
+    /// The share of each rate with which the token buckets here refill.
+    fn own_share(&self) -> f64 {
         match self.pacing {
             Pacing::Parts => 1.0 / self.instances as f64,
-            Pacing::Level | Pacing::Proportional => self.part,
+            Pacing::Level | Pacing::Proportional => self.reachable_share,
         }
     }
 
-    /// A request is about to go to an endpoint.
+    /// Charges a request that is about to be sent to an endpoint.
     pub fn charge(&mut self, now: Instant, endpoint: EngineTag) {
-        let part = self.own_part();
-        let Some(account) = self.accounts.get_mut(&endpoint) else { return };
-        account.refill(now, part);
-        account.take(1.0);
-        account.total = account.total.wrapping_add(1);
-        account.recent.push_back(now);
-        account.trim(now);
+        let share = self.own_share();
+        let Some(bucket) = self.buckets.get_mut(&endpoint) else { return };
+        bucket.refill(now, share);
+        bucket.charge(1.0);
+        bucket.total = bucket.total.wrapping_add(1);
+        bucket.recent.push_back(now);
+        bucket.trim(now);
     }
 
-    /// A request that was [taken](Rates::charge) has not reached the endpoint.
+    /// Refunds a request that was [charged](Rates::charge) and has not reached the endpoint.
     pub fn refund(&mut self, now: Instant, endpoint: EngineTag) {
-        let part = self.own_part();
-        let Some(account) = self.accounts.get_mut(&endpoint) else { return };
-        // It may have been taken before the endpoint named a rate.
-        if account.recent.pop_back().is_some() {
-            account.refill(now, part);
-            account.level += 1.0;
-            account.total = account.total.saturating_sub(1);
+        let share = self.own_share();
+        let Some(bucket) = self.buckets.get_mut(&endpoint) else { return };
+        // It may have been sent before the endpoint advertised a rate, and is not charged then.
+        if bucket.recent.pop_back().is_some() {
+            bucket.refill(now, share);
+            bucket.level += 1.0;
+            bucket.total = bucket.total.saturating_sub(1);
         }
     }
 
-    /// The endpoint has gone.
+    /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: EngineTag) {
-        self.accounts.remove(&endpoint);
+        self.buckets.remove(&endpoint);
         self.ended.remove(&endpoint);
     }
 
-    /// Forgets ends that are old, and rates of endpoints that are not listed and of which nothing was heard for long.
+    /// Removes ends of rates that are old, and rates of endpoints that are not listed and were not observed
+    /// for long.
     pub fn expire(&mut self, now: Instant, is_listed: impl Fn(EngineTag) -> bool) {
-        let silent = |at: Instant| now.saturating_duration_since(at) > UNLISTED;
-        self.ended.retain(|_, (at, _)| !silent(*at));
-        self.accounts.retain(|&endpoint, account| !silent(account.said) || is_listed(endpoint));
+        let outdated = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
+        self.ended.retain(|_, (at, _)| !outdated(*at));
+        self.buckets.retain(|&endpoint, bucket| !outdated(bucket.advertised) || is_listed(endpoint));
     }
 }
--- a/crates/routing/src/store_updates.rs
+++ b/crates/routing/src/store_updates.rs
@@ -11,7 +11,7 @@
 //! The store may be restored from a backup ([`Era`]). A response of an older era than the known one is
 //! ignored. A response of a newer era invalidates the known revisions, so that the store is read completely
 //! again. An update of a newer era makes its receiver read the store; the update itself is not applied, since
-//! nothing tells the receiver what lies between the two eras.
+//! the changes between the two eras were sent to no instance.
 //!
 //! No guarantee depends on who reads. An update carries the revision up to which its sender knows the store,
 //! and how long ago the store itself confirmed this. An instance reads the store itself as soon as its
