--- a/crates/routing/src/memory.rs
+++ b/crates/routing/src/memory.rs
@@ -37,7 +37,8 @@
 
     /// Reserves memory for so many bytes.
     ///
-    /// # Errors There is not enough; nothing was reserved.
+    /// # Errors
+    /// There is not enough; nothing was reserved.
     pub fn reserve(&mut self, bytes: u64, kind: BodyKind) -> Result<(), MemoryFull> {
         let limit = match kind {
             BodyKind::Request => (self.limit as f64 * REQUEST_FRACTION) as u64,
--- a/crates/routing/src/store_updates.rs
+++ b/crates/routing/src/store_updates.rs
@@ -23,7 +23,7 @@
 
 use std::time::Duration;
 
-/// Instances of a domain that read the store: one may die without the others having to read.
+/// Instances of a domain that read the store: one may fail without the others having to read.
 const READERS: usize = 2;
 /// Peers of the same domain from which on not every instance reads. With fewer peers, two instances that read
 /// often make as many calls as all instances that read seldom.
--- a/crates/routing/tests/all/budget.rs
+++ b/crates/routing/tests/all/budget.rs
@@ -1,4 +1,4 @@
-//! The budget for repeats.
+//! The retry budget.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,22 +15,22 @@
 }
 
 quickcheck! {
-    /// Many instances that know nothing of one another, each with its own pattern of requests and of wishes to
-    /// repeat. In no window may all of them together spend more than the deployment allows for the requests in it
-    /// or in the window before.
+    /// Many instances without communication, each with its own pattern of requests and second attempts. In no
+    /// window may all of them together spend more than the deployment allows for the requests in it or in the
+    /// window before.
     fn instances_together_keep_the_budget(patterns: Vec<Vec<(u16, bool)>>) -> bool {
         let service: Arc<str> = Arc::from("desk");
         let start = Instant::now();
         let patterns: Vec<_> = patterns.into_iter().take(20).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut second_attempts) = (Vec::new(), Vec::new());
         for pattern in &patterns {
             let mut own = budgets(58.0);
             let mut at = start;
-            for &(gap, repeat) in pattern {
+            for &(gap, second_attempt) in pattern {
                 at += Duration::from_millis(u64::from(gap % 500));
-                if repeat {
+                if second_attempt {
                     if own.take(at, &service) {
-                        repeats.push(at);
+                        second_attempts.push(at);
                     }
                 } else {
                     own.count_request(at, &service);
@@ -41,19 +41,20 @@
         let within = |times: &[Instant], from: Instant, to: Instant| {
             times.iter().filter(|&&t| t >= from && t < to).count() as f64
         };
-        repeats.iter().all(|&from| {
+        second_attempts.iter().all(|&from| {
             let to = from + WINDOW;
             let now = within(&requests, from, to);
             let before = from.checked_sub(WINDOW).map_or(0.0, |earlier| within(&requests, earlier, from));
-            within(&repeats, from, to) <= now.max(before) * 0.2 + 58.0
+            within(&second_attempts, from, to) <= now.max(before) * 0.2 + 58.0
         })
     }
 }
 
-/// An endpoint fails every request of a busy instance. It may send some again, but not most: with every request sent
-/// twice, a service that is down for a moment would be hit twice as hard at its return.
+/// An endpoint fails every request of a busy instance. The instance may send some again, but not most: with
+/// every request sent twice, a service that is down for a moment would get twice the load when it is up
+/// again.
 #[test]
-fn most_requests_are_not_repeated() {
+fn most_requests_get_no_second_attempt() {
     let (mut own, service, start) = (budgets(58.0), Arc::from("desk"), Instant::now());
     let taken = (0..1000).filter(|&n| {
         let at = start + Duration::from_millis(n * 10);
@@ -74,8 +75,9 @@
     assert!(own.take(start + WINDOW + Duration::from_millis(1), &service));
 }
 
-/// A failure that all instances meet in the same moment: each spends all that it has. Together they stay within what the
-/// deployment allows, however many they are; a reserve of a fixed size each was twice as much among six hundred.
+/// A failure that all instances meet at the same moment: each spends its whole budget. Together they must
+/// stay within what the deployment allows, however many they are. With a reserve of a fixed size each, six
+/// hundred instances spent twice as much.
 #[test]
 fn reserves_of_hundreds_together_keep_the_budget() {
     let mut rng = SmallRng::seed_from_u64(3);
@@ -83,7 +85,7 @@
         [(9, 58.0), (58, 156.0), (195, 430.0), (584, 640.0), (1168, 640.0), (1168, 1280.0)]
     {
         let (service, start) = (Arc::from("desk"), Instant::now());
-        let (mut requests, mut repeats) = (0, 0);
+        let (mut requests, mut second_attempts) = (0, 0);
         for _ in 0..instances {
             let terms = BudgetTerms { ratio: 0.2, slack, window: WINDOW };
             let mut own = Budgets::new(terms, rng.random_range(0.0..1.0));
@@ -92,10 +94,13 @@
                 requests += 1;
                 own.count_request(start, &service);
             }
-            repeats += (0..100).take_while(|_| own.take(start, &service)).count();
+            second_attempts += (0..100).take_while(|_| own.take(start, &service)).count();
         }
         let allowed = f64::from(requests) * 0.2 + slack;
-        assert!(repeats as f64 <= allowed, "{instances}: {repeats} of {allowed}");
-        assert!(repeats as f64 >= allowed.min(instances as f64) * 0.3, "{instances}: {repeats} of {allowed}");
+        assert!(second_attempts as f64 <= allowed, "{instances}: {second_attempts} of {allowed}");
+        assert!(
+            second_attempts as f64 >= allowed.min(instances as f64) * 0.3,
+            "{instances}: {second_attempts} of {allowed}"
+        );
     }
 }
--- a/crates/routing/tests/all/changes.rs
+++ b/crates/routing/tests/all/changes.rs
@@ -1,4 +1,4 @@
-//! Lists of thousands of endpoints of which a few change.
+//! The log of changes to a list of thousands of endpoints, of which a few change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,8 +7,9 @@
 use teaselshunt_routing::RecentChanges;
 
 quickcheck! {
-    /// Whoever knows the list as of some revision and is told the entries that changed since has the list. A change that is
-    /// left out would stay unknown: work goes to an endpoint that has left.
+    /// A peer that knows the list as of some revision and is sent the entries that changed since has the
+    /// current list. A change that was left out would stay unknown, and work would go to an endpoint that has
+    /// left.
     fn what_changed_since_makes_the_list_whole(writes: Vec<(u8, u8)>, from: usize) -> bool {
         let mut changes = RecentChanges::default();
         changes.start_at(0);
@@ -22,7 +23,7 @@
         }
         let from = from % lists.len();
         let (mut own, newest) = (lists[from].clone(), &lists[lists.len() - 1]);
-        for id in changes.since(from as u64).expect("all is remembered") {
+        for id in changes.since(from as u64).expect("the log holds all changes") {
             match newest.get(&id) {
                 Some(&value) => own.insert(id, value),
                 None => own.remove(&id),
@@ -32,9 +33,10 @@
     }
 }
 
-/// A peer missed more than is remembered, or what came before this instance had the list. It must be given the whole list.
+/// A peer missed more changes than the log holds, or changes from before this instance had the list. The log
+/// must not return a part of the changes then, since the peer needs a snapshot.
 #[test]
-fn what_is_not_remembered_is_not_given_in_part() {
+fn an_incomplete_log_returns_no_changes() {
     let mut changes = RecentChanges::default();
     assert!(changes.since(3).is_none());
     changes.start_at(5);
--- a/crates/routing/tests/all/endpoints.rs
+++ b/crates/routing/tests/all/endpoints.rs
@@ -1,4 +1,4 @@
-//! Beliefs about endpoints, and the choice among them.
+//! What is known of endpoints, and the choice among them.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -55,10 +55,11 @@
     assert!(chosen(&endpoints, now).is_empty());
 }
 
-/// The store lost its entries while it was away. A live endpoint stays in use for a while and is kept if its entry
-/// comes back; one that was leaving is dropped at once, and one that does not come back when its time is over.
+/// The store lost its entries while it was unavailable. An unconfirmed endpoint stays in use for a while and
+/// is kept if its entry is listed again. One that was leaving is removed at once, and one that isn't listed
+/// again is removed when its time is over.
 #[test]
-fn a_doubted_endpoint_is_used_until_its_time_is_over() {
+fn an_unconfirmed_endpoint_is_used_until_its_time_is_over() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     for id in ["live", "dead"] {
         endpoints.upsert(endpoint(id, "north"));
@@ -76,10 +77,10 @@
     assert_eq!(endpoints.len(), 1);
 }
 
-/// Two failures in a row pause an endpoint, so that not every request learns by its own timeout that it is dead. The
-/// pause ends by itself; an endpoint that is the only one is used all the same.
+/// Two failures in a row pause an endpoint, so that not every request learns by its own timeout that the
+/// endpoint is dead. The pause ends by itself. An endpoint that is the only one is used all the same.
 #[test]
-fn a_failing_endpoint_is_paused_and_tried_again() {
+fn a_failing_endpoint_is_paused_and_used_again() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(endpoint("a", "north"));
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
@@ -89,10 +90,11 @@
     endpoints.upsert(endpoint("b", "south"));
     assert_eq!(chosen(&endpoints, now), names(&["b"]));
     assert!(chosen(&endpoints, now + Duration::from_secs(3)).contains("a"));
-    assert!(endpoints.learn(now, key, StepOutcome::Answered(Duration::from_millis(10))), "it is back");
+    assert!(endpoints.learn(now, key, StepOutcome::Answered(Duration::from_millis(10))), "the pause ended");
 }
 
-/// Work goes to the nearer endpoint while it is idle, and to the farther one as the nearer fills or turns slow.
+/// Work goes to the endpoint of the own failure domain while it is idle, and to that of another domain when
+/// the own one is loaded or slow.
 #[test]
 fn load_and_slowness_outweigh_distance() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
@@ -107,7 +109,7 @@
         endpoints.learn(now, near, StepOutcome::Answered(Duration::from_millis(400)));
     }
     assert_eq!(chosen(&endpoints, now), names(&["far"]));
-    assert!(chosen(&endpoints, now + Duration::from_mins(1)).contains("near"), "old results fade");
+    assert!(chosen(&endpoints, now + Duration::from_mins(1)).contains("near"), "old results decay");
 }
 
 #[test]
@@ -122,10 +124,11 @@
     assert!(endpoints.choose(now + Duration::from_millis(500), decode, &mut rng).is_some());
 }
 
-/// An engine has started anew under its old address, and the list still names the former start. Whoever hears that from
-/// the new one never sends to the former again, and tells others, who pass it over while another could serve.
+/// An engine has started again under its old address, and the list still names the previous incarnation. An
+/// instance that learns this from the new incarnation never sends to the previous one again, and reports it
+/// to others, which pass it over while another engine could serve.
 #[test]
-fn an_ended_endpoint_is_not_chosen_and_others_hear_of_it() {
+fn an_ended_endpoint_is_not_chosen_and_is_reported_to_others() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(endpoint("a", "north"));
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
@@ -147,12 +150,12 @@
     }
 }
 
-/// Every engine that answers is full, and one is silent. Asking the silent one costs a caller a timeout and brings
-/// nothing; waiting for room does.
+/// Every engine that responds is full, and one is unreachable. An attempt at the unreachable one costs a
+/// caller a timeout and yields nothing, while a wait for capacity does.
 #[test]
-fn an_absent_engine_is_no_alternative_to_full_ones() {
+fn an_unreachable_engine_is_no_alternative_to_full_ones() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
-    for id in ["full", "absent"] {
+    for id in ["full", "unreachable"] {
         endpoints.upsert(Endpoint { stage: Some(Stage::Decode), ..endpoint(id, "north") });
     }
     let decode = Need { stage: Some(Stage::Decode), ..need(&[]) };
@@ -164,14 +167,14 @@
     assert!(endpoints.choose(now, decode, &mut rng).is_none());
 }
 
-/// A failure domain is cut off while many streams run. Callers lose each stream whose engine is on the other side, so
-/// streams stay at home while home engines have room, and only the last part of their memory is kept for when engines
-/// away are full too.
+/// A failure domain is partitioned while many streams run. Callers lose each stream whose engine is on the
+/// other side. Streams therefore stay in their domain while its engines have capacity, and only the last part
+/// of these engines' memory is kept for when engines of other domains are full too.
 #[test]
-fn streams_stay_in_their_failure_domain_while_it_has_room() {
+fn streams_stay_in_their_failure_domain_while_it_has_capacity() {
     const MEMORY: u64 = 24_000;
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
-    for (id, domain) in [("home", "north"), ("away", "south")] {
+    for (id, domain) in [("local", "north"), ("remote", "south")] {
         endpoints.upsert(Endpoint { stage: Some(Stage::Decode), ..endpoint(id, domain) });
     }
     let decode = Need { stage: Some(Stage::Decode), tokens: 3_000, limit: Some(MEMORY), ..need(&[]) };
@@ -181,13 +184,14 @@
         places.push(endpoints.get(key).expect("listed").id.to_string());
     }
     assert_eq!(places.len(), 16, "both are used up");
-    assert!(places[..2].iter().all(|id| id == "home"), "{places:?}");
-    assert!(places[8..].contains(&"home".to_owned()), "{places:?}");
+    assert!(places[..2].iter().all(|id| id == "local"), "{places:?}");
+    assert!(places[8..].contains(&"local".to_owned()), "{places:?}");
 }
 
-/// An endpoint fails every request at once while its health answers are good. By latency and load it looks the best of
-/// all, and more than half of all bookings went to it and failed. After three failures callers go elsewhere, other
-/// instances hear of it, and some seconds later it is tried again. Two failures in a row say nothing.
+/// An endpoint fails every request at once while its health checks pass. By latency and load it looks the
+/// best of all, and more than half of all bookings went to it and failed. After three failures requests must
+/// go elsewhere, and the endpoint is reported to other instances. Some seconds later it gets another attempt.
+/// Two failures in a row mean nothing.
 #[test]
 fn an_endpoint_that_fails_fast_does_not_draw_callers() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
@@ -201,12 +205,13 @@
     endpoints.learn(now, key, StepOutcome::ErrorResponse);
     assert_eq!(chosen(&endpoints, now), names(&["slow"]));
     assert_eq!(endpoints.suspects(now).len(), 1);
-    assert!(chosen(&endpoints, now + Duration::from_mins(1)).contains("fails"), "old failures fade");
+    assert!(chosen(&endpoints, now + Duration::from_mins(1)).contains("fails"), "old failures decay");
 }
 
-/// An engine crashes and starts anew under its old address, and the list names both starts for some seconds. Work goes to
-/// the new one at once: the room that it grants to the former start is worth nothing. If the later entry was an old one
-/// written late, the first answer shows it, and the other is used again.
+/// An engine crashes and starts again under its old address, and the list names both incarnations for some
+/// seconds. Work goes to the new one at once: a reservation that it grants to the previous incarnation is of
+/// no use. If the later entry was an old one that was written late, the first response shows it, and the
+/// other incarnation is used again.
 #[test]
 fn a_former_start_at_the_same_address_is_passed_over() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
@@ -222,21 +227,22 @@
     assert_eq!(chosen(&endpoints, now), names(&["former"]));
 }
 
-/// An instance is frozen, and an engine works on for it: its memory is full, and what others count says that there is room.
-/// Whoever waits for room asks it again and again, 18,000 times a second in one recorded day. One refusal keeps a decode engine
-/// from being asked for a moment only; several in a row do so for longer, until it takes something again.
+/// An instance is frozen, and an engine continues its work: the engine's memory is full, and by the counts of
+/// the other instances it has capacity. Requests that wait for capacity asked it over and over, 18,000 times
+/// a second in one recorded day. One refusal keeps a decode engine from being asked for a moment only.
+/// Several in a row do so for longer, until the engine takes work again.
 #[test]
 fn an_engine_that_keeps_refusing_is_asked_less_and_less() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(Endpoint { stage: Some(Stage::Decode), ..endpoint("a", "north") });
     let decode = Need { stage: Some(Stage::Decode), ..need(&[]) };
     let key = endpoints.choose(now, decode, &mut rng).expect("one");
-    let mut asked = |endpoints: &mut Endpoints, verdict| {
+    let mut asked = |endpoints: &mut Endpoints, outcome| {
         let mut count = 0;
         for step in 0..300 {
             let at = now + Duration::from_millis(10 * step);
             if endpoints.choose(at, decode, &mut rng).is_some() {
-                endpoints.learn(at, key, verdict);
+                endpoints.learn(at, key, outcome);
                 count += 1;
             }
         }
--- a/crates/routing/tests/all/incarnations.rs
+++ b/crates/routing/tests/all/incarnations.rs
@@ -1,4 +1,4 @@
-//! Starts of an endpoint under one id, and entries that somebody else wrote.
+//! Incarnations of an endpoint under one id, and entries that something other than the endpoint wrote.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,14 +9,14 @@
     Endpoint, EndpointKey, EndpointState, Endpoints, Need, Stage, StepOutcome, UpsertOutcome,
 };
 
-fn birth(number: u64) -> SystemTime {
+fn start_time(number: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(number)
 }
 
 fn decoder(id: &str, born: u64) -> Endpoint {
     Endpoint {
         id: Arc::from(id),
-        born: Some(birth(born)),
+        born: Some(start_time(born)),
         service: Arc::from("model"),
         address: ([10, 0, 0, 1], 80).into(),
         domain: Arc::from("north"),
@@ -40,49 +40,50 @@
     endpoints.choose(now, need, &mut rand::rng())
 }
 
-/// An engine leaves, and starts again under its id. Callers may be sent to the new start at once; taken for the one that
-/// leaves it would be lost for good, and after a release of all engines nobody would be served.
+/// An engine leaves, and starts again under its id. Its new incarnation takes work at once. If the new
+/// incarnation were taken for the one that left, it would never be used, and after a release of all engines
+/// no caller would be served.
 #[test]
-fn a_new_start_under_an_old_id_is_used_after_the_former_left() {
+fn a_new_incarnation_under_an_old_id_is_used_after_the_previous_left() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(decoder("a", 1));
     endpoints.upsert(Endpoint { state: EndpointState::Leaving, ..decoder("a", 1) });
     assert!(choose(&endpoints, now).is_none());
     assert_eq!(endpoints.upsert(decoder("a", 2)), UpsertOutcome::Started);
     assert!(choose(&endpoints, now).is_some());
-    // What the former start wrote arrives late.
+    // An entry of the previous incarnation arrives late.
     endpoints.upsert(Endpoint { state: EndpointState::Leaving, ..decoder("a", 1) });
     assert!(choose(&endpoints, now).is_some());
     assert_eq!(endpoints.len(), 1);
 }
 
-/// An engine crashes with work on it and is back under its id, and neither its end nor the time between was seen. What was
-/// believed, in flight or kept there belongs to the former start: the new one is empty, and nothing that was begun at the
-/// former may go on as if it were the same.
+/// An engine crashes with work on it and starts again under its id, and this instance saw neither its end nor
+/// the time between. Estimates, work in flight and state belong to the previous incarnation: the new one is
+/// empty, and work that began at the previous one must not continue as if both were the same.
 #[test]
-fn nothing_of_a_former_start_lives_on() {
+fn a_new_incarnation_inherits_nothing() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(decoder("a", 1));
-    let former = choose(&endpoints, now).expect("it is listed");
-    endpoints.begin(now, former, 9_000);
-    endpoints.learn(now, former, StepOutcome::Unreachable);
+    let previous = choose(&endpoints, now).expect("it is listed");
+    endpoints.begin(now, previous, 9_000);
+    endpoints.learn(now, previous, StepOutcome::Unreachable);
     endpoints.upsert(Endpoint { address: ([10, 0, 0, 2], 80).into(), ..decoder("a", 2) });
     let key = choose(&endpoints, now).expect("it is back");
-    assert_ne!(key, former);
-    assert!(endpoints.get_open(now, former).is_none());
+    assert_ne!(key, previous);
+    assert!(endpoints.get_open(now, previous).is_none());
     assert_eq!(endpoints.load(key), 0);
     assert!(endpoints.suspects(now).is_empty());
     assert!(endpoints.in_flight().is_empty());
-    // The work at the former start ends here; the new one's account stays whole.
+    // The work at the previous incarnation ends now, and the count of the new one is unchanged.
     endpoints.begin(now, key, 500);
-    endpoints.end(former, 9_000);
+    endpoints.end(previous, 9_000);
     assert_eq!(endpoints.load(key), 500);
 }
 
-/// Other instances still tell what they have in flight at the former start. It must not count at the new one, which would
-/// look full while it is empty.
+/// Other instances still report work in flight at the previous incarnation. That work must not count at the
+/// new one, which would look full while it is empty.
 #[test]
-fn what_others_have_in_flight_at_a_former_start_does_not_count() {
+fn work_of_others_at_the_previous_incarnation_does_not_count() {
     let (mut endpoints, mut other, now) = (Endpoints::default(), Endpoints::default(), Instant::now());
     for instance in [&mut endpoints, &mut other] {
         instance.upsert(decoder("a", 1));
@@ -90,13 +91,13 @@
     let key = choose(&other, now).expect("it is listed");
     other.begin(now, key, 20_000);
     endpoints.upsert(decoder("a", 2));
-    let told = other.in_flight();
-    endpoints.ledger().update(now, ([127, 0, 0, 1], 1).into(), (1, 1), told);
+    let reported = other.in_flight();
+    endpoints.ledger().update(now, ([127, 0, 0, 1], 1).into(), (1, 1), reported);
     assert_eq!(endpoints.load(choose(&endpoints, now).expect("it is back")), 0);
 }
 
-/// Somebody else writes an entry that cannot be read. It names no endpoint to use, and nothing is known of the one under
-/// that id until it writes again; what it said before of its leaving still holds.
+/// Something other than the endpoint overwrites its entry with an unreadable one. The endpoint is not used
+/// until it writes its entry again. If it was leaving before, it still is.
 #[test]
 fn an_unreadable_entry_takes_its_endpoint_out_until_it_is_written_again() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
@@ -112,9 +113,9 @@
     assert!(choose(&endpoints, now).is_none());
 }
 
-/// An entry without a time of birth, of an endpoint that told its own, is not that endpoint's.
+/// An entry without a start time is not the endpoint's own if the endpoint provided a start time before.
 #[test]
-fn an_entry_without_a_birth_is_not_of_an_endpoint_that_told_one() {
+fn an_entry_without_a_start_time_is_foreign_to_an_endpoint_that_has_one() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(decoder("a", 1));
     assert_eq!(endpoints.upsert(Endpoint { born: None, ..decoder("a", 1) }), UpsertOutcome::Foreign);
@@ -123,9 +124,9 @@
     assert!(choose(&endpoints, now).is_some());
 }
 
-/// An endpoint of a platform that tells no births is learned to tell one later, and is the same.
+/// An endpoint is first listed without a start time and later with one. It is the same incarnation.
 #[test]
-fn a_birth_that_is_told_later_begins_no_new_life() {
+fn a_start_time_that_is_added_later_begins_no_new_incarnation() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     endpoints.upsert(Endpoint { born: None, ..decoder("a", 1) });
     let key = choose(&endpoints, now);
@@ -133,8 +134,9 @@
     assert_eq!(choose(&endpoints, now), key);
 }
 
-/// An entry names another service for an id that is known. The endpoint is found under the new service only; it was listed
-/// under its first service for ever, and got requests there that it refused.
+/// An entry names another service for a known id. The endpoint must be found under the new service only. In
+/// an earlier version it stayed listed under its first service for ever, and got requests there that it
+/// refused.
 #[test]
 fn an_entry_with_another_service_moves_its_endpoint() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
@@ -147,12 +149,13 @@
     assert_eq!(endpoints.open(now, "other").count(), 0);
 }
 
-/// An engine crashes behind a cut and is replaced at its address. The store removes its entry, lists the next one, and then an
-/// old entry of the first is written late: it comes back for some seconds. Taken for the later one at the address, it drew the
-/// work of 195 instances, one prompt each, which the engine there refused after the prompt had been read. The replacement
-/// goes on getting the work.
+/// An engine crashes behind a network partition and is replaced at its address. The store removes its entry,
+/// lists the replacement, and then an old entry of the first engine is written late and is listed for some
+/// seconds. When the first engine was taken for the later one at the address, it got the work of 195
+/// instances, one prompt each, and the engine at the address refused the run after the prompt had been
+/// prefilled. The replacement must continue to get the work.
 #[test]
-fn an_entry_that_comes_back_does_not_take_its_address_again() {
+fn a_relisted_entry_does_not_take_its_address_again() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     let listed = |id: &str| Endpoint { born: None, ..decoder(id, 1) };
     endpoints.upsert(listed("former"));
@@ -163,21 +166,21 @@
         let key = choose(&endpoints, now).expect("the later one");
         assert_eq!(&*endpoints.get(key).expect("listed").id, "later");
     }
-    // If it is the later one that is not there, the answer at the address shows it.
+    // If the later engine is the one that has ended, the response at the address shows it.
     let later = choose(&endpoints, now).expect("the later one");
     endpoints.mark_ended(now, later);
     assert_eq!(
-        &*endpoints.get(choose(&endpoints, now).expect("the former one")).expect("listed").id,
+        &*endpoints.get(choose(&endpoints, now).expect("the previous one")).expect("listed").id,
         "former"
     );
 }
 
-/// What the list says in one step.
+/// A change of the list.
 #[derive(Debug, Clone)]
 enum Step {
     Entry { id: u8, born: u8, leaving: bool },
     Unreadable { id: u8 },
-    Gone { id: u8 },
+    Removed { id: u8 },
 }
 
 impl Arbitrary for Step {
@@ -185,14 +188,15 @@
         let id = u8::arbitrary(g) % 3;
         match u8::arbitrary(g) % 6 {
             0 => Self::Unreadable { id },
-            1 => Self::Gone { id },
+            1 => Self::Removed { id },
             _ => Self::Entry { id, born: u8::arbitrary(g) % 3, leaving: u8::arbitrary(g).is_multiple_of(4) },
         }
     }
 }
 
-/// What may be used, in the plainest way: the newest birth of an id, whether it left, whether its entry is readable; and
-/// births that have left, which do not come back though their entry went and is there again.
+/// The simplest model of which endpoints may be used: the latest start time of each id, whether that
+/// incarnation left, and whether its entry is readable; and the incarnations that left, which must not become
+/// ready again after their entry was removed and listed again.
 #[derive(Debug, Default)]
 struct Model(HashMap<u8, (u8, bool, bool)>, HashSet<(u8, u8)>);
 
@@ -217,7 +221,7 @@
                     *readable = false;
                 }
             }
-            Step::Gone { id } => {
+            Step::Removed { id } => {
                 self.0.remove(&id);
             }
         }
@@ -231,10 +235,11 @@
     }
 }
 
-/// Lives, lapses and foreign entries in any order: what is used is what the plain model allows, by id and birth.
+/// New incarnations, removals and unreadable entries in any order: the endpoints in use are those that the
+/// simple model allows, by id and start time.
 #[test]
-fn any_sequence_of_entries_leaves_what_a_plain_model_allows() {
-    #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands arguments over")]
+fn any_sequence_of_entries_leaves_what_a_simple_model_allows() {
+    #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes arguments by value")]
     fn property(steps: Vec<Step>) -> bool {
         let (mut endpoints, mut model, now) = (Endpoints::default(), Model::default(), Instant::now());
         steps.iter().all(|step| {
@@ -247,7 +252,7 @@
                 Step::Unreadable { id } => {
                     endpoints.invalidate(&id.to_string());
                 }
-                Step::Gone { id } => {
+                Step::Removed { id } => {
                     endpoints.remove(&id.to_string());
                 }
             }
@@ -256,7 +261,7 @@
             };
             let mut open: Vec<_> = endpoints
                 .open(now, "model")
-                .map(|e| (e.id.to_string(), seconds(e).expect("it was told")))
+                .map(|e| (e.id.to_string(), seconds(e).expect("it has a start time")))
                 .collect();
             open.sort();
             open == model.open()
--- a/crates/routing/tests/all/ledger.rs
+++ b/crates/routing/tests/all/ledger.rs
@@ -1,4 +1,4 @@
-//! What other instances have in flight, and choices that count on it.
+//! Work that other instances have in flight, and the choices that depend on it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
 type Digest = (u8, u8, Vec<(u8, u16)>);
 
 quickcheck! {
-    /// Tellings arrive late, twice, out of order or not at all. The totals must always be the sum of the newest
-    /// telling of each instance.
+    /// Digests arrive late, twice, out of order or not at all. The totals must always be the sum of the
+    /// newest digest of each instance.
     fn totals_are_the_sum_of_the_newest_digests(digests: Vec<Digest>) -> bool {
         let (mut ledger, now) = (Ledger::default(), Instant::now());
         let mut newest: HashMap<u8, (u64, HashMap<EngineTag, u32>)> = HashMap::new();
@@ -41,10 +41,10 @@
     }
 }
 
-/// An instance dies with much in flight. Its account is dropped after a moment: engines stop work whose connection
-/// ends, and an account that stayed would keep their room empty.
+/// An instance dies with much work in flight. Its account must be dropped after the failure timeout: engines
+/// stop work whose connection ends, and an account that stayed would keep their capacity unused.
 #[test]
-fn a_silent_instances_account_is_dropped() {
+fn an_unresponsive_instances_account_is_dropped() {
     let (mut ledger, now, tag) = (Ledger::default(), Instant::now(), EngineTag::of("g-1", None));
     ledger.update(now, peer(1), (1, 1), HashMap::from([(tag, 500)]));
     ledger.update(now + Duration::from_secs(2), peer(2), (1, 1), HashMap::from([(tag, 70)]));
@@ -52,10 +52,11 @@
     assert_eq!(ledger.in_flight(tag), 70);
 }
 
-/// An instance starts again, and its machine's clock has gone back meanwhile. What it tells counts from its first digest on:
-/// ordered by a clock, others would take the engines that it fills for empty until that clock has caught up.
+/// An instance starts again, and its machine's clock has gone back meanwhile. Its work in flight must count
+/// from its first digest on. If incarnations were ordered by a clock, others would take the engines that it
+/// fills for empty until the clock has caught up.
 #[test]
-fn an_instance_that_starts_again_is_heard_at_once() {
+fn an_instance_that_starts_again_counts_at_once() {
     let (mut ledger, now, tag) = (Ledger::default(), Instant::now(), EngineTag::of("g-1", None));
     ledger.update(now, peer(1), (9, 5_000), HashMap::from([(tag, 500)]));
     ledger.update(now, peer(1), (4, 1), HashMap::from([(tag, 70)]));
@@ -101,9 +102,10 @@
     endpoints.choose(now, need, rng)
 }
 
-/// A burst of prompts at nine instances at once, which hear of each other's choices a moment late. The engines' shares
-/// must stay close: an engine that gets twice its share makes its prompts wait twice as long, and their first events
-/// are late. Without the ledger each instance spreads only its own.
+/// A burst of prompts reaches nine instances at once, which learn of each other's choices with the gossip
+/// delay. The engines' shares must stay close: an engine that gets twice its share makes its prompts wait
+/// twice as long, and their first events are late. Without the ledger each instance would spread only its own
+/// prompts.
 #[test]
 fn a_burst_through_many_instances_spreads_over_the_engines() {
     let (now, mut rng) = (Instant::now(), SmallRng::seed_from_u64(7));
@@ -113,9 +115,9 @@
             let key = choose(instance, now, Stage::Prefill, None, &mut rng).expect("one");
             instance.begin(now, key, 3_200);
         }
-        let told: Vec<_> = instances.iter().map(Endpoints::in_flight).collect();
+        let reported: Vec<_> = instances.iter().map(Endpoints::in_flight).collect();
         for (index, instance) in instances.iter_mut().enumerate() {
-            for (from, tokens) in told.iter().enumerate().filter(|(from, _)| *from != index) {
+            for (from, tokens) in reported.iter().enumerate().filter(|(from, _)| *from != index) {
                 instance.ledger().update(now, peer(from as u8), (1, round + 1), tokens.clone());
             }
         }
@@ -129,7 +131,8 @@
     assert!(loads.iter().all(|&l| l.abs_diff(mean) * 4 < mean), "{loads:?}");
 }
 
-/// Others have filled an engine. It is passed over without a question, and taken again when they say that it is free.
+/// Others have filled an engine. The engine is passed over without an attempt, and chosen again when the
+/// others report that it has capacity.
 #[test]
 fn an_engine_that_others_filled_is_passed_over() {
     let (now, mut rng) = (Instant::now(), SmallRng::seed_from_u64(7));
@@ -141,10 +144,10 @@
     assert!(choose(&endpoints, now, Stage::Decode, Some(30_000), &mut rng).is_some());
 }
 
-/// An engine has room for one more request. One that can be on time takes it; one that is late already leaves it, and is
-/// served where there is room for another besides.
+/// An engine has capacity for one more request. A request that can be on time takes it. A request that is
+/// late already leaves it, and is served where there is capacity for another request besides.
 #[test]
-fn a_late_request_leaves_the_last_room_to_others() {
+fn a_late_request_leaves_the_last_capacity_to_others() {
     let (now, mut rng) = (Instant::now(), SmallRng::seed_from_u64(7));
     let mut endpoints = engines(1, Stage::Decode);
     let tag = EngineTag::of("g-0", None);
@@ -166,8 +169,8 @@
     assert!(endpoints.choose(now, late, &mut rng).is_some());
 }
 
-/// A generation makes more than was expected. Its engine is passed over before its memory is used up, and all that was
-/// counted is given back at the end.
+/// A generation produces more tokens than expected. Its engine must be passed over before the engine's memory
+/// is used up, and all counted tokens must be released at the end.
 #[test]
 fn a_generation_that_overruns_fills_its_engine() {
     let (now, mut rng) = (Instant::now(), SmallRng::seed_from_u64(7));
@@ -181,31 +184,31 @@
     assert_eq!(endpoints.load(key), 0);
 }
 
-/// Prefill slows to a third of its pace. The expectation follows within some tens of results, so that requests which
-/// can't be served in time are turned away before they are sent.
+/// Prefill slows to a third of its speed. The estimate follows within some tens of results, so that requests
+/// which can't be served in time are refused before they are sent.
 #[test]
-fn the_pace_follows_what_prefill_takes() {
-    let mut pace = PrefillEstimate::default();
+fn the_prefill_estimate_follows_the_results() {
+    let mut estimate = PrefillEstimate::default();
     for _ in 0..60 {
-        pace.learn(10_000, Duration::from_millis(300));
+        estimate.learn(10_000, Duration::from_millis(300));
     }
-    assert!(pace.predict(10_000).abs_diff(Duration::from_millis(300)) < Duration::from_millis(15));
+    assert!(estimate.predict(10_000).abs_diff(Duration::from_millis(300)) < Duration::from_millis(15));
     for _ in 0..60 {
-        pace.learn(10_000, Duration::from_millis(900));
+        estimate.learn(10_000, Duration::from_millis(900));
     }
-    assert!(pace.predict(20_000) > Duration::from_millis(1_700));
+    assert!(estimate.predict(20_000) > Duration::from_millis(1_700));
 }
 
-/// Engines were slow to reach for some seconds, and the pace learned from that says that no prompt can be read in time.
-/// When they are well again and idle, prompts must be sent: refused ones teach nothing, and the instance would refuse
-/// every generation for good.
+/// Engines were slow to reach for some seconds, and by the estimate learned from that no prompt can be
+/// prefilled in time. When the engines have recovered and are idle, prompts must be sent: refused ones give
+/// no results, and the instance would refuse every generation for good.
 #[test]
 fn a_bad_pace_does_not_forbid_idle_engines() {
-    let mut pace = PrefillEstimate::default();
+    let mut estimate = PrefillEstimate::default();
     for _ in 0..60 {
-        pace.learn(100, Duration::from_secs(1));
+        estimate.learn(100, Duration::from_secs(1));
     }
     let limit = Duration::from_millis(600);
-    assert!(!pace.in_time(100, 100, limit), "a queue is still too long");
-    assert!(pace.in_time(0, 100, limit));
+    assert!(!estimate.in_time(100, 100, limit), "a queue is still too long");
+    assert!(estimate.in_time(0, 100, limit));
 }
--- a/crates/routing/tests/all/main.rs
+++ b/crates/routing/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Decisions without input or output.
+//! Tests of the routing decisions, without input or output.
 
 mod backoff;
 mod budget;
--- a/crates/routing/tests/all/memory.rs
+++ b/crates/routing/tests/all/memory.rs
@@ -1,42 +1,44 @@
-//! Slow readers: bodies that pile up because one side does not read.
+//! Slow readers: bodies that accumulate because one side does not read.
 
 use quickcheck::QuickCheck;
 use teaselshunt_routing::{BodyKind, BodyMemory};
 
 const LIMIT: u64 = 1000;
 
-/// Endpoints read slowly and requests pile up. Answers must still find room, or work that is done is lost.
+/// Endpoints read slowly and requests accumulate. There must still be memory for responses, or complete work
+/// is lost.
 #[test]
-fn piled_up_requests_leave_room_for_answers() {
+fn accumulated_requests_leave_memory_for_responses() {
     let mut memory = BodyMemory::new(LIMIT);
     while memory.reserve(10, BodyKind::Request).is_ok() {}
     assert!(memory.reserve(200, BodyKind::Response).is_ok());
 }
 
-/// Callers read slowly and answers pile up. New requests are refused before an answer is.
+/// Callers read slowly and responses accumulate. New requests must be refused before a response is dropped.
 #[test]
-fn piled_up_answers_refuse_requests_first() {
+fn accumulated_responses_refuse_requests_first() {
     let mut memory = BodyMemory::new(LIMIT);
-    memory.reserve(800, BodyKind::Response).expect("room for the answer");
+    memory.reserve(800, BodyKind::Response).expect("memory for the response");
     assert!(memory.reserve(1, BodyKind::Request).is_err());
     assert!(memory.reserve(100, BodyKind::Response).is_ok());
 }
 
-/// Whatever is taken and given back, never more than the limit is held, and a refusal takes nothing.
+/// In any sequence of reservations and releases never more than the limit is held, and a refusal reserves
+/// nothing.
 #[test]
 fn never_more_than_the_limit_is_held() {
     fn property(steps: Vec<(u16, bool, bool)>) -> bool {
-        let (mut memory, mut taken) = (BodyMemory::new(LIMIT), Vec::new());
-        steps.into_iter().all(|(bytes, request, gives)| {
+        let (mut memory, mut reserved) = (BodyMemory::new(LIMIT), Vec::new());
+        steps.into_iter().all(|(bytes, request, releases)| {
             let bytes = u64::from(bytes % 400);
-            if gives && let Some(last) = taken.pop() {
+            if releases && let Some(last) = reserved.pop() {
                 memory.release(last);
             }
-            let held = if request { BodyKind::Request } else { BodyKind::Response };
-            if memory.reserve(bytes, held).is_ok() {
-                taken.push(bytes);
+            let kind = if request { BodyKind::Request } else { BodyKind::Response };
+            if memory.reserve(bytes, kind).is_ok() {
+                reserved.push(bytes);
             }
-            memory.held() == taken.iter().sum::<u64>() && memory.held() <= LIMIT
+            memory.held() == reserved.iter().sum::<u64>() && memory.held() <= LIMIT
         })
     }
     QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<(u16, bool, bool)>) -> bool);
--- a/crates/routing/tests/all/output_estimate.rs
+++ b/crates/routing/tests/all/output_estimate.rs
@@ -4,23 +4,23 @@
 use rand::{Rng, SeedableRng};
 use teaselshunt_routing::OutputEstimate;
 
-/// Tokens in an event of the engines that are imitated.
+/// Tokens in an event of the simulated engines.
 const EVENT: f64 = 11.0;
 
-/// About a standard normal number.
+/// An approximately standard normal number.
 fn normal(rng: &mut SmallRng) -> f64 {
     (0..12).map(|_| rng.random_range(0.0..1.0)).sum::<f64>() - 6.0
 }
 
-/// Outputs vary by a factor of two, and callers' estimates of them by 1.6 in either direction. Room reserved by estimates
-/// alone is too much for those that expect much, and too little for those that expect little: engines run out of memory
-/// with room to spare elsewhere, and put streams back in the middle. What is learned must halve the error at least, and
-/// be right on average for those who estimate much.
+/// Outputs vary by a factor of two, and callers' estimates of them by 1.6 in either direction. Reservations
+/// by estimates alone are too large where callers estimate much, and too small where they estimate little:
+/// engines run out of memory while others have capacity, and preempt streams. The learned estimate must at
+/// least halve the squared error, and be right on average where callers estimate much.
 #[test]
-fn expectations_lie_between_the_estimate_and_the_usual() {
+fn predictions_are_between_the_callers_estimate_and_the_usual_output() {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut outputs = OutputEstimate::default();
-    assert_eq!(outputs.predict(1_500), 1_500, "nothing is known yet");
+    assert_eq!(outputs.predict(1_500), 1_500, "nothing was learned yet");
     assert_eq!(outputs.tokens_for_events(10), None);
     let mut draw = move || {
         let tokens = (580.0_f64.ln() + 0.7 * normal(&mut rng)).exp();
--- a/crates/routing/tests/all/peers.rs
+++ b/crates/routing/tests/all/peers.rs
@@ -1,12 +1,13 @@
-//! Which other instances there are.
+//! Which other instances there are, and when they are sent updates.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 use teaselshunt_routing::{HEARTBEAT_INTERVAL, Peers};
 
-/// Three instances know one another, and the third dies. The other two go on naming whom they know to each other. Both
-/// must forget the dead one; otherwise each hears of it again from the other, and sends to it for ever.
+/// Three instances know one another, and the third dies. The other two continue to name their peers to each
+/// other. Both must remove the dead one. Otherwise each learns of it again from the other, and sends to it
+/// for ever.
 #[test]
 fn a_dead_peer_is_not_handed_round() {
     let start = Instant::now();
@@ -15,25 +16,25 @@
         assert!(instance.observe(start, 3, 0, Duration::ZERO));
         assert!(!instance.observe(start, 3, 0, Duration::ZERO));
     }
-    let mut forgotten = 0;
+    let mut removed = 0;
     for step in 1..200_u64 {
         let now = start + Duration::from_millis(step * 100);
         for index in 0..2 {
             let named: Vec<i32> = instances[1 - index].responsive(now).collect();
             instances[index].observe(now, 2 - index as i32, 0, Duration::ZERO);
-            // An instance does not take itself for a peer.
+            // An instance doesn't add itself as a peer.
             for peer in named.into_iter().filter(|&p| p != index as i32 + 1) {
                 instances[index].add_reported(now, peer);
             }
-            forgotten += instances[index].remove_unresponsive(now).len();
+            removed += instances[index].remove_unresponsive(now).len();
         }
     }
-    assert_eq!(forgotten, 2, "each has forgotten it once");
+    assert_eq!(removed, 2, "each has removed it once");
     assert!(instances.iter().all(|i| !i.contains(3) && i.len() == 1));
 }
 
-/// An instance is told of a peer by another before the peer is heard. It is known, so that something can be sent to it,
-/// and is forgotten if it never answers, without being named on.
+/// Another instance names a peer before the peer is observed. The peer is known, so that an update can be
+/// sent to it, and is removed if it never sends one, without having been named to others.
 #[test]
 fn a_named_peer_must_be_heard_to_stay() {
     let (mut peers, start) = (Peers::new(0), Instant::now());
@@ -43,16 +44,17 @@
     assert!(peers.remove_unresponsive(start + Duration::from_secs(5)).is_empty());
     assert!(peers.is_empty());
     peers.add_reported(start, 2);
-    assert!(peers.observe(start, 2, 0, Duration::ZERO), "heard for the first time");
+    assert!(peers.observe(start, 2, 0, Duration::ZERO), "observed for the first time");
     assert_eq!(peers.due(start), [2]);
 }
 
-/// Plays ten seconds in which there is always something new, with so many peers near and far; gives the fewest and the most
-/// tellings of one peer, near and far, and the longest time that one was not told anything.
-fn tellings(near: u32, far: u32) -> ([u32; 2], [u32; 2], Duration) {
+/// Plays ten seconds in which there is always something new, with so many peers in the own failure domain
+/// (near) and in others (far). Returns the fewest and the most updates to one peer, near and far, and the
+/// longest time for which a peer was sent no update.
+fn updates(near: u32, far: u32) -> ([u32; 2], [u32; 2], Duration) {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     let count = near + far;
-    let mut told = vec![Vec::new(); count as usize];
+    let mut sent = vec![Vec::new(); count as usize];
     let mut next = start;
     for step in 0..2_000_u32 {
         let now = start + Duration::from_millis(5) * step;
@@ -61,7 +63,7 @@
         }
         if now >= next {
             for peer in peers.due(now) {
-                told[peer as usize].push(now);
+                sent[peer as usize].push(now);
             }
             next = now + peers.min_interval();
         }
@@ -70,39 +72,42 @@
         let counts = || peers.iter().map(|t| t.len() as u32);
         [counts().min().unwrap_or(0), counts().max().unwrap_or(0)]
     };
-    let gaps = told.iter().flat_map(|t| t.windows(2).map(|w| w[1] - w[0]));
+    let gaps = sent.iter().flat_map(|t| t.windows(2).map(|w| w[1] - w[0]));
     let longest = gaps.max().unwrap_or_default();
-    (span(&told[..near as usize]), span(&told[near as usize..]), longest)
+    (span(&sent[..near as usize]), span(&sent[near as usize..]), longest)
 }
 
-/// Seventy-four instances in three failure domains under load. Most bytes between domains were what they tell one another,
-/// some ten times a second each: dearer there than all answers on a calm day. Peers in other domains are told half as often:
-/// with a quarter, engines of other domains were asked for room that had long been taken.
+/// Seventy-four instances in three failure domains under load. Most bytes between domains were gossip, some
+/// ten updates a second to each peer, which cost more there than all responses on a day with low load. Peers
+/// in other domains are sent updates half as often. With a quarter, instances asked engines of other domains
+/// for capacity that had long been taken.
 #[test]
-fn peers_in_other_domains_are_told_less_often() {
-    let (near, far, longest) = tellings(24, 49);
+fn peers_in_other_domains_are_sent_updates_less_often() {
+    let (near, far, longest) = updates(24, 49);
     assert!(near[0] >= 90, "{near:?}");
     assert!((48..=52).contains(&far[0]) && far[1] <= 52, "{far:?}");
     assert!(longest <= HEARTBEAT_INTERVAL + Duration::from_millis(110), "{longest:?}");
 }
 
-/// Where there are few, news is quick everywhere: six instances of a small site choose among few engines.
+/// Where there are few peers, updates are frequent everywhere: six instances of a small site choose among few
+/// engines.
 #[test]
-fn few_peers_are_told_quickly() {
-    let (near, far, _) = tellings(1, 4);
+fn few_peers_are_sent_updates_often() {
+    let (near, far, _) = updates(1, 4);
     assert!(near[0] >= 250 && far[0] >= 250, "{near:?} {far:?}");
 }
 
-/// Three hundred instances are more than are told at a time. All get their turn, far and near, well before what they were
-/// told counts as ended (1.5 s).
+/// Three hundred instances are more than are sent an update in one round. All of them, far and near, must get
+/// the next update well before the work in the last one counts as ended (1.5 s).
 #[test]
 fn none_of_many_peers_is_left_out() {
-    let (_, _, longest) = tellings(100, 200);
+    let (_, _, longest) = updates(100, 200);
     assert!(longest < Duration::from_millis(700), "{longest:?}");
 }
 
-/// Instances that are told by turns of several seconds are not taken for dead between two of them. With one silence for all
-/// sizes, six hundred of them forgot one another by turns, and each took itself for one that reads the store.
+/// Instances with a gossip interval of several seconds must not be taken for dead between two updates. With
+/// one failure timeout for all sizes, six hundred of them removed one another by turns, and each took itself
+/// for a store reader.
 #[test]
 fn a_peer_that_waits_for_its_turn_is_not_taken_for_dead() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
@@ -111,47 +116,49 @@
     }
     let (near, far) = (peers.gossip_interval(Some(0)), peers.gossip_interval(Some(1)));
     assert!(near < far, "{near:?} {far:?}");
-    let mut hearer = Peers::new(0);
-    hearer.observe(start, 1, 0, near);
-    hearer.observe(start, 2, 1, far);
-    assert_eq!(hearer.responsive_in_domain(start + near * 2).collect::<Vec<_>>(), [1]);
-    assert_eq!(hearer.responsive(start + far * 2).collect::<Vec<_>>(), [2]);
-    assert!(!hearer.remove_unresponsive(start + far * 2).contains(&2));
+    let mut receiver = Peers::new(0);
+    receiver.observe(start, 1, 0, near);
+    receiver.observe(start, 2, 1, far);
+    assert_eq!(receiver.responsive_in_domain(start + near * 2).collect::<Vec<_>>(), [1]);
+    assert_eq!(receiver.responsive(start + far * 2).collect::<Vec<_>>(), [2]);
+    assert!(!receiver.remove_unresponsive(start + far * 2).contains(&2));
 }
 
-/// Where there are few, silence is noticed as soon as ever.
+/// Where there are few instances, an unresponsive one is noticed after the shortest failure timeout.
 #[test]
-fn a_death_among_few_is_noticed_soon() {
+fn a_failure_among_few_is_noticed_soon() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..8 {
         peers.observe(start, peer, peer % 4, Duration::ZERO);
     }
-    let mut hearer = Peers::new(0);
-    hearer.observe(start, 1, 0, peers.gossip_interval(Some(1)));
+    let mut receiver = Peers::new(0);
+    receiver.observe(start, 1, 0, peers.gossip_interval(Some(1)));
     let later = start + Duration::from_millis(1_500);
-    assert_eq!(hearer.responsive(later).count(), 0);
+    assert_eq!(receiver.responsive(later).count(), 0);
 }
 
-/// A crash under a request is told for three seconds. Among twelve hundred instances all have their turn by then; with pauses
-/// between rounds most never heard of it, and let the request crash three more endpoints.
+/// A crash that is attributed to a request is sent for three seconds. All of twelve hundred instances must be
+/// sent it within this time. With pauses between rounds most were never sent it, and let the request crash
+/// three more endpoints.
 #[test]
-fn news_that_is_told_for_seconds_reaches_all() {
+fn a_report_that_is_sent_for_seconds_reaches_all() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..1_200 {
         peers.observe(start, peer, peer % 6, Duration::from_secs(30));
     }
-    let (mut told, mut now) = (HashSet::new(), start);
+    let (mut reached, mut now) = (HashSet::new(), start);
     while now < start + Duration::from_secs(3) {
-        told.extend(peers.due(now));
+        reached.extend(peers.due(now));
         now += peers.min_interval() + peers.round_pause(true);
     }
-    assert_eq!(told.len(), 1_200);
+    assert_eq!(reached.len(), 1_200);
 }
 
-/// A domain that is silent as a whole is cut off with its endpoints, and its part is used by those that still reach the
-/// others; an instance that is silent alone may go on, and its part is left to it until it is forgotten.
+/// A domain that is unresponsive as a whole is partitioned with its endpoints, and the reachable instances
+/// use its share. An instance that alone is unresponsive may go on, and its share is reserved for it until it
+/// is removed.
 #[test]
-fn only_instances_that_are_silent_alone_keep_their_part() {
+fn only_instances_that_alone_are_unresponsive_keep_their_share() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..8_u8 {
         peers.observe(start, peer, u32::from(peer % 4), Duration::ZERO);
@@ -163,7 +170,7 @@
     }
     assert!(
         (peers.reachable_share(later) - 6.0 / 7.0).abs() < 1e-9,
-        "domain 1 is cut off, one of domain 2 is silent"
+        "domain 1 is partitioned, one of domain 2 is unresponsive"
     );
     peers.remove_unresponsive(start + Duration::from_secs(10));
     assert!((peers.reachable_share(later) - 1.0).abs() < 1e-9);
--- a/crates/routing/tests/all/rates.rs
+++ b/crates/routing/tests/all/rates.rs
@@ -1,4 +1,4 @@
-//! Rates that endpoints name: whose word counts, what is sent, and where requests go instead.
+//! Rates that endpoints advertise: which observation counts, what is sent, and where requests go instead.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn word(rate: Option<f64>, age: f64) -> RateObservation {
+fn observation(rate: Option<f64>, age: f64) -> RateObservation {
     RateObservation { rate, age: seconds(age) }
 }
 
@@ -25,7 +25,8 @@
     RateReport { endpoint: DESK, observation: None, total, recent }
 }
 
-/// Rates of which the endpoint has just named one, and a time some seconds later, when the level is at its highest.
+/// Rates after the endpoint has advertised one, and a time some seconds later, when the level is at its
+/// highest.
 fn limited(rate: f64) -> (Rates<u8>, Instant) {
     let (mut rates, now) = (Rates::new(Pacing::Proportional), Instant::now());
     assert_eq!(rates.observe_response(now, DESK, Some(rate)), Some(RateChange::Limited(rate)));
@@ -33,40 +34,48 @@
 }
 
 fn level(rates: &Rates<u8>, now: Instant) -> f64 {
-    rates.level(now, DESK).expect("it names a rate")
+    rates.level(now, DESK).expect("it advertises a rate")
 }
 
-/// What an endpoint said a while ago is told late by another instance, after it has told this one something newer.
+/// Another instance reports late what an endpoint advertised a while ago, after this instance has observed
+/// something newer.
 #[test]
-fn an_older_word_that_comes_late_takes_nothing_back() {
+fn an_older_observation_that_arrives_late_reverts_nothing() {
     let (mut rates, now) = limited(4.0);
     rates.observe_response(now, DESK, Some(2.0));
-    assert_eq!(rates.merge_observation(now, DESK, word(Some(8.0), 1.0)), None);
-    assert_eq!(rates.merge_observation(now, DESK, word(None, 1.0)), None);
+    assert_eq!(rates.merge_observation(now, DESK, observation(Some(8.0), 1.0)), None);
+    assert_eq!(rates.merge_observation(now, DESK, observation(None, 1.0)), None);
     assert_eq!(rates.rate(DESK), Some(2.0));
     assert_eq!(rates.observe_response(now, DESK, None), Some(RateChange::Ended));
-    assert_eq!(rates.merge_observation(now, DESK, word(Some(2.0), 1.0)), None, "it has ended since");
+    assert_eq!(rates.merge_observation(now, DESK, observation(Some(2.0), 1.0)), None, "it has ended since");
     assert!(!rates.is_limited(DESK));
     let later = now + seconds(5.0);
-    assert_eq!(rates.merge_observation(later, DESK, word(Some(3.0), 1.0)), Some(RateChange::Limited(3.0)));
+    assert_eq!(
+        rates.merge_observation(later, DESK, observation(Some(3.0), 1.0)),
+        Some(RateChange::Limited(3.0))
+    );
 }
 
-/// An instance that has not asked an endpoint lately goes by what others were told, and passes on only what it was told
-/// itself: a word that goes round would never grow old.
+/// An instance that has sent nothing to an endpoint lately relies on the observations of others, and reports
+/// only its own: an observation that circulates would never expire.
 #[test]
-fn words_are_passed_on_once() {
+fn observations_are_passed_on_once() {
     let (mut rates, now) = (Rates::<u8>::default(), Instant::now() + seconds(60.0));
-    rates.merge_observation(now, DESK, word(Some(4.0), 0.5));
+    rates.merge_observation(now, DESK, observation(Some(4.0), 0.5));
     assert!(rates.is_limited(DESK));
     assert!(rates.reports(now).is_empty());
     rates.observe_response(now, DESK, Some(4.0));
-    assert_eq!(rates.reports(now)[0].observation, Some(word(Some(4.0), 0.0)));
+    assert_eq!(rates.reports(now)[0].observation, Some(observation(Some(4.0), 0.0)));
     rates.observe_response(now, DESK, None);
-    assert_eq!(rates.reports(now + seconds(1.0))[0].observation, Some(word(None, 1.0)));
-    assert!(rates.reports(now + seconds(60.0)).is_empty(), "nothing is told when nobody names a rate");
+    assert_eq!(rates.reports(now + seconds(1.0))[0].observation, Some(observation(None, 1.0)));
+    assert!(
+        rates.reports(now + seconds(60.0)).is_empty(),
+        "nothing is reported when no endpoint advertises a rate"
+    );
 }
 
-/// Tellings are lost, come twice, and begin anew with each life of their sender; what it sent counts once.
+/// Reports are lost, arrive twice, and start again with each incarnation of their sender. Each of its sends
+/// must count once.
 #[test]
 fn what_another_instance_sent_counts_once() {
     let (mut rates, now) = limited(10.0);
@@ -75,28 +84,32 @@
     rates.merge_sends(now, 7, 1, sends(2, 2));
     assert!((level(&rates, now) - (full - 2.0)).abs() < 1e-6);
     rates.merge_sends(now, 7, 1, sends(5, 5));
-    assert!((level(&rates, now) - (full - 5.0)).abs() < 1e-6, "a telling between was lost");
+    assert!((level(&rates, now) - (full - 5.0)).abs() < 1e-6, "a report between was lost");
     rates.merge_sends(now, 7, 2, sends(1, 1));
     assert!((level(&rates, now) - (full - 6.0)).abs() < 1e-6, "it has started again");
     rates.merge_sends(now, 8, 1, sends(900, 1));
-    assert!((level(&rates, now) - (full - 7.0)).abs() < 1e-6, "heard first long after it began");
+    assert!(
+        (level(&rates, now) - (full - 7.0)).abs() < 1e-6,
+        "observed for the first time long after it began"
+    );
 }
 
-/// A request that never reached the endpoint, and one that was chosen before the endpoint named a rate.
+/// A request never reached the endpoint, and another one was sent before the endpoint advertised a rate.
 #[test]
-fn what_did_not_reach_the_endpoint_is_given_back() {
+fn requests_that_did_not_reach_the_endpoint_are_refunded() {
     let (mut rates, now) = limited(10.0);
     let full = level(&rates, now);
     rates.refund(now, DESK);
-    assert!((level(&rates, now) - full).abs() < 1e-6, "it was never taken");
+    assert!((level(&rates, now) - full).abs() < 1e-6, "it was never charged");
     rates.charge(now, DESK);
     rates.refund(now, DESK);
     assert!((level(&rates, now) - full).abs() < 1e-6);
 }
 
-/// An endpoint that takes nothing is asked now and then: nobody else would hear that it takes something again.
+/// An endpoint that takes nothing must get a request now and then: no instance would otherwise learn that it
+/// takes requests again.
 #[test]
-fn a_rate_of_nothing_lets_a_request_through_now_and_then() {
+fn a_rate_of_zero_admits_a_request_now_and_then() {
     let (mut rates, now) = limited(0.0);
     for request in 0..20 {
         rates.charge(now, DESK);
@@ -107,9 +120,10 @@
     assert!(rates.admitted_share(now + seconds(60.0), DESK) <= 1.0);
 }
 
-/// A cut halves what each side may send; a new rate counts from when it is named.
+/// A network partition halves the rate that each side may use. A new share or rate counts from when it is
+/// known.
 #[test]
-fn a_part_and_a_new_rate_count_from_now_on() {
+fn a_share_and_a_new_rate_count_from_now_on() {
     let (mut rates, now) = limited(10.0);
     for _ in 0..7 {
         rates.charge(now, DESK);
@@ -135,7 +149,7 @@
 
 const NEED: Need<'static> = Need::of("desk", "north");
 
-/// Two endpoints, of which the first names a rate that is used up.
+/// Two endpoints, of which the first advertises a rate that is used up.
 fn one_used_up(now: Instant) -> Endpoints {
     let mut endpoints = Endpoints::default();
     endpoints.upsert(listed("a", 1));
@@ -154,21 +168,22 @@
     counts
 }
 
-/// Other endpoints of the service take what one with a rate does not, and a second try beside one under way spares it.
+/// Other endpoints of the service take the requests that a rate-limited one doesn't, and a hedge is not sent
+/// to the rate-limited one.
 #[test]
-fn others_take_what_an_endpoint_with_a_rate_does_not() {
+fn others_take_what_a_rate_limited_endpoint_does_not() {
     let now = Instant::now();
     let endpoints = one_used_up(now);
     assert_eq!(chosen(&endpoints, now, NEED), HashMap::from([("b".to_owned(), 400)]));
-    assert!(endpoints.total_rate(now, "desk", None).is_none(), "one names none");
+    assert!(endpoints.total_rate(now, "desk", None).is_none(), "one advertises none");
     let later = now + seconds(10.0);
-    assert!(chosen(&endpoints, later, NEED).contains_key("a"), "there is room again");
+    assert!(chosen(&endpoints, later, NEED).contains_key("a"), "there is capacity again");
     assert!(!chosen(&endpoints, later, Need { hedge: true, ..NEED }).contains_key("a"));
 }
 
-/// A rate goes with the start of the endpoint that named it, and with its entry.
+/// A rate ends with the incarnation of the endpoint that advertised it, and with its entry.
 #[test]
-fn a_rate_ends_with_the_start_that_named_it() {
+fn a_rate_ends_with_the_incarnation_that_advertised_it() {
     let now = Instant::now();
     let mut endpoints = one_used_up(now);
     endpoints.upsert(listed("a", 2));
@@ -178,10 +193,11 @@
     assert!(endpoints.rates().is_empty());
 }
 
-/// All endpoints of a service name rates and callers ask for ten times their sum. A request that finds no room shall not
-/// press on whichever endpoint has some: most are refused without a look, and the rate is used all the same.
+/// All endpoints of a service advertise rates, and the demand is ten times their sum. Requests must not all
+/// attempt whichever endpoint has capacity: most are refused without an attempt, and the rates are used all
+/// the same.
 #[test]
-fn pressure_on_an_endpoint_does_not_grow_with_what_callers_ask() {
+fn the_load_on_an_endpoint_does_not_grow_with_the_demand() {
     let mut now = Instant::now();
     let mut endpoints = one_used_up(now);
     let keys = ["a", "b"].map(|id| endpoints.key_of(id).expect("listed"));
@@ -202,9 +218,10 @@
     assert!((140..=170).contains(&sent), "{sent} of 160");
 }
 
-/// Callers who are refused are spread over the time in which what endpoints take suffices for all of them.
+/// The retries of refused callers are spread over the time in which the endpoints' rates suffice for all of
+/// them.
 #[test]
-fn refused_callers_come_back_as_fast_as_they_can_be_served() {
+fn refused_callers_retry_as_fast_as_they_can_be_served() {
     let (mut refused, now, desk) = (Refusals::default(), Instant::now(), Arc::from("desk"));
     assert!(!refused.is_overloaded(now, &desk));
     assert_eq!(refused.record(now, &desk, 8.0, 2), seconds(0.25));
--- a/crates/routing/tests/all/routes.rs
+++ b/crates/routing/tests/all/routes.rs
@@ -1,4 +1,4 @@
-//! Look-up of routes.
+//! Lookup of routes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 }
 
 quickcheck! {
-    fn finding_agrees_with_looking_at_every_route(prefixes: Vec<Vec<bool>>, path: Vec<bool>) -> bool {
+    fn lookup_agrees_with_a_scan_of_every_route(prefixes: Vec<Vec<bool>>, path: Vec<bool>) -> bool {
         let text = |parts: &[bool]| {
             let parts: Vec<_> = parts.iter().take(6).map(|&b| if b { "a" } else { "bb" }).collect();
             if parts.is_empty() { "/".to_owned() } else { format!("/{}/", parts.join("/")) }
@@ -63,8 +63,8 @@
     assert!(none.pick_service(&mut rng).is_none());
 }
 
-/// An endpoint accepts a hundred connections. Nine instances may keep several idle ones each; three hundred may keep one
-/// each, so that idle ones do not use up what requests need.
+/// An endpoint accepts a hundred connections. Nine instances may keep several idle ones each. Three hundred
+/// may keep one each, so that idle connections leave enough for requests.
 #[test]
 fn many_instances_keep_fewer_idle_connections() {
     let service = Service { name: Arc::from("desk"), connections: 100, engine: None };
@@ -73,6 +73,6 @@
     assert_eq!(
         Service { connections: 0, ..service }.max_idle_connections(300),
         usize::MAX,
-        "nothing is said"
+        "no limit is given"
     );
 }
--- a/crates/routing/tests/all/snapshot_sources.rs
+++ b/crates/routing/tests/all/snapshot_sources.rs
@@ -1,7 +1,8 @@
-//! Hundreds of instances of one failure domain that need a list of thousands of endpoints at the same moment.
+//! Hundreds of instances that need a list of thousands of endpoints at the same moment.
 //!
-//! The pattern: all are started, most are killed and started, or the store drops its history before all of them. Read from
-//! the store by each for itself that is some thirty calls an instance, and its link is taken for ten seconds.
+//! The scenario: all are started, most are killed and started, or the store drops the history
+//! from which they would continue. If each instance read the store for itself, there would be some thirty calls an
+//! instance, and the store's link would be busy for ten seconds.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,20 +13,20 @@
 
 /// Time between two rounds of digests.
 const ROUND: Duration = Duration::from_millis(100);
-/// Rounds that a copy takes.
-const COPY_ROUNDS: u32 = 4;
-/// Copies that a holder gives at a time.
-const COPIES: u32 = 3;
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Rounds that the transfer of a snapshot takes.
+const TRANSFER_ROUNDS: u32 = 4;
+/// Snapshots that a source serves at a time.
+const TRANSFERS_MAX: u32 = 3;
+const BUSY_TIMEOUT: Duration = Duration::from_secs(5);
 const ERA: Era = Era::new(None);
 
 struct Member {
     peers: Peers<u32>,
-    holders: SnapshotSources<u32>,
+    sources: SnapshotSources<u32>,
     /// Round from which it has the list.
     has: Option<u32>,
-    /// Until when it copies, and from whom.
-    copies: Option<(u32, u32)>,
+    /// Round in which its transfer ends, and the source of the transfer.
+    transfer: Option<(u32, u32)>,
     down: bool,
 }
 
@@ -37,21 +38,21 @@
     members: Vec<Member>,
     rng: SmallRng,
     /// Lists that were read from the store.
-    reads: u32,
+    store_reads: u32,
 }
 
 impl Fleet {
     fn new(count: u32, domains: u32) -> Self {
         let member = |n: u32| Member {
             peers: Peers::new(n % domains),
-            holders: SnapshotSources::default(),
+            sources: SnapshotSources::default(),
             has: None,
-            copies: None,
+            transfer: None,
             down: false,
         };
         let members = (0..count).map(member).collect();
         let rng = SmallRng::seed_from_u64(u64::from(count));
-        Self { start: Instant::now(), round: 0, domains, members, rng, reads: 0 }
+        Self { start: Instant::now(), round: 0, domains, members, rng, store_reads: 0 }
     }
 
     fn now(&self) -> Instant {
@@ -64,7 +65,7 @@
     }
 
     /// One round of digests, of which one in fifty is lost.
-    fn talk(&mut self) {
+    fn gossip(&mut self) {
         let now = self.now();
         let seeds = self.seeds();
         for from in 0..self.members.len() as u32 {
@@ -86,18 +87,18 @@
                 let named: &Vec<u32> = by_domain
                     .entry(domain)
                     .or_insert_with(|| sender.peers.sample_for(now, domain, &mut self.rng));
-                let hearer = &mut self.members[to as usize];
-                if hearer.down || self.rng.random_bool(0.02) {
+                let receiver = &mut self.members[to as usize];
+                if receiver.down || self.rng.random_bool(0.02) {
                     continue;
                 }
                 let near = from % self.domains == to % self.domains;
-                hearer.peers.observe(now, from, from % self.domains, next[usize::from(!near)]);
+                receiver.peers.observe(now, from, from % self.domains, next[usize::from(!near)]);
                 named
                     .iter()
                     .filter(|&&peer| peer != to)
-                    .for_each(|&peer| hearer.peers.add_reported(now, peer));
+                    .for_each(|&peer| receiver.peers.add_reported(now, peer));
                 if near {
-                    hearer.holders.observe(from, ERA, revision);
+                    receiver.sources.observe(from, ERA, revision);
                 }
             }
         }
@@ -105,10 +106,10 @@
 
     fn act(&mut self, member: u32, uptime: Duration, missing_for: Duration) {
         let now = self.now();
-        let Member { peers, holders, copies, .. } = &self.members[member as usize];
-        if let Some((until, _)) = copies {
+        let Member { peers, sources, transfer, .. } = &self.members[member as usize];
+        if let Some((until, _)) = transfer {
             if *until <= self.round {
-                self.members[member as usize].copies = None;
+                self.members[member as usize].transfer = None;
                 self.members[member as usize].has = Some(self.round);
             }
             return;
@@ -119,33 +120,35 @@
             newer_than: None,
             tried: Vec::new(),
             missing_for,
-            busy_timeout: PATIENCE,
-            no_source_timeout: PATIENCE,
+            busy_timeout: BUSY_TIMEOUT,
+            no_source_timeout: BUSY_TIMEOUT,
             uptime,
         };
-        match holders.next(&search, source, &mut self.rng) {
+        match sources.next(&search, source, &mut self.rng) {
             SnapshotStep::Wait => {}
             SnapshotStep::Store => {
-                self.reads += 1;
+                self.store_reads += 1;
                 self.members[member as usize].has = Some(self.round);
             }
-            SnapshotStep::Peer(holder) => {
-                let busy = self.members.iter().filter(|m| m.copies.is_some_and(|(_, from)| from == holder));
-                let gives = self.members[holder as usize].has.is_some() && busy.count() < COPIES as usize;
-                if gives {
-                    self.members[member as usize].copies = Some((self.round + COPY_ROUNDS, holder));
+            SnapshotStep::Peer(source) => {
+                let busy = self.members.iter().filter(|m| m.transfer.is_some_and(|(_, from)| from == source));
+                let serves =
+                    self.members[source as usize].has.is_some() && busy.count() < TRANSFERS_MAX as usize;
+                if serves {
+                    self.members[member as usize].transfer = Some((self.round + TRANSFER_ROUNDS, source));
                 }
             }
         }
     }
 
-    /// Plays until all that are up have the list; those without it have been missing it since `since`. Gives the rounds.
+    /// Plays until all members that are up have the list; those without it have been missing it since round
+    /// `since`. Returns the number of rounds.
     fn play(&mut self, since: u32) -> u32 {
         let begun = self.round;
         while self.members.iter().any(|m| !m.down && m.has.is_none()) {
             self.round += 1;
-            assert!(self.round < begun + 200, "no end");
-            self.talk();
+            assert!(self.round < begun + 200, "the play doesn't end");
+            self.gossip();
             let missing = ROUND * (self.round - since);
             for member in 0..self.members.len() as u32 {
                 if !self.members[member as usize].down && self.members[member as usize].has.is_none() {
@@ -157,78 +160,81 @@
     }
 }
 
-/// A whole deployment starts. A few of each domain read the list; how many does not grow with the instances, and the time
-/// until all have it hardly does.
+/// A whole deployment starts. A few instances of each domain read the list. Their number must not grow with
+/// that of the instances, and the time until all have the list must hardly grow.
 #[test]
 fn a_start_of_all_reads_the_store_few_times() {
     for count in [75, 300] {
         let mut fleet = Fleet::new(count, 6);
         let rounds = fleet.play(0);
-        assert!(fleet.reads <= 6 * 5, "{count}: {} reads", fleet.reads);
+        assert!(fleet.store_reads <= 6 * 5, "{count}: {} reads", fleet.store_reads);
         assert!(rounds <= 60, "{count}: {rounds} rounds");
     }
 }
 
-/// More than half of all instances are killed and start again. Those that live have the list, and hardly anybody reads it.
+/// More than half of all instances are killed and start again. The survivors have the list, and hardly any
+/// instance must read it from the store.
 #[test]
-fn a_start_of_half_copies_from_those_that_live() {
+fn a_start_of_half_gets_snapshots_from_the_survivors() {
     let mut fleet = Fleet::new(300, 6);
     fleet.play(0);
-    fleet.reads = 0;
+    fleet.store_reads = 0;
     let begun = fleet.round;
     for member in (0..300).filter(|n| n % 20 < 11) {
         let fresh = Fleet::new(300, 6).members.swap_remove(member);
         fleet.members[member] = fresh;
     }
     let rounds = fleet.play(begun);
-    assert!(fleet.reads <= 6, "{} reads", fleet.reads);
+    assert!(fleet.store_reads <= 6, "{} reads", fleet.store_reads);
     assert!(rounds <= 40, "{rounds} rounds");
 }
 
-/// Everybody with the list has gone. Whoever waits for a copy reads the store after a while, and is not kept waiting.
+/// All instances with the list are unresponsive. An instance that waits for a snapshot must read the store
+/// after a bounded time.
 #[test]
-fn nobody_waits_for_a_holder_for_ever() {
+fn the_wait_for_a_source_is_bounded() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let holders = SnapshotSources::<u32>::default();
+    let sources = SnapshotSources::<u32>::default();
     let search = |missing_for: Duration| SnapshotSearch {
         era: ERA,
         newer_than: Some(7),
         tried: Vec::new(),
         missing_for,
-        busy_timeout: PATIENCE,
-        no_source_timeout: PATIENCE / 4,
+        busy_timeout: BUSY_TIMEOUT,
+        no_source_timeout: BUSY_TIMEOUT / 4,
         uptime: Duration::from_mins(1),
     };
-    assert_eq!(holders.next(&search(PATIENCE / 5), UpdateSource::Peers, &mut rng), SnapshotStep::Wait);
-    assert_eq!(holders.next(&search(PATIENCE / 3), UpdateSource::Peers, &mut rng), SnapshotStep::Store);
-    assert_eq!(holders.next(&search(Duration::ZERO), UpdateSource::Reader, &mut rng), SnapshotStep::Store);
+    assert_eq!(sources.next(&search(BUSY_TIMEOUT / 5), UpdateSource::Peers, &mut rng), SnapshotStep::Wait);
+    assert_eq!(sources.next(&search(BUSY_TIMEOUT / 3), UpdateSource::Peers, &mut rng), SnapshotStep::Store);
+    assert_eq!(sources.next(&search(Duration::ZERO), UpdateSource::Reader, &mut rng), SnapshotStep::Store);
 }
 
-/// A holder whose list is older than what is known, of another era, or that could not give it is passed over.
+/// A source is passed over if its list is older than the known one or of another era, or if it could not
+/// serve a snapshot.
 #[test]
-fn only_a_later_list_of_the_same_era_is_copied() {
+fn only_a_later_list_of_the_same_era_is_used() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut holders = SnapshotSources::default();
-    holders.observe(1, Era::new(Some(4)), Some(7));
-    holders.observe(2, Era::new(Some(5)), Some(9));
-    holders.observe(3, Era::new(Some(4)), Some(8));
+    let mut sources = SnapshotSources::default();
+    sources.observe(1, Era::new(Some(4)), Some(7));
+    sources.observe(2, Era::new(Some(5)), Some(9));
+    sources.observe(3, Era::new(Some(4)), Some(8));
     let mut search = SnapshotSearch {
         era: Era::new(Some(4)),
         newer_than: Some(7),
         tried: Vec::new(),
         missing_for: Duration::ZERO,
-        busy_timeout: PATIENCE,
-        no_source_timeout: PATIENCE / 4,
+        busy_timeout: BUSY_TIMEOUT,
+        no_source_timeout: BUSY_TIMEOUT / 4,
         uptime: Duration::from_mins(1),
     };
-    assert_eq!(holders.next(&search, UpdateSource::Peers, &mut rng), SnapshotStep::Peer(3));
+    assert_eq!(sources.next(&search, UpdateSource::Peers, &mut rng), SnapshotStep::Peer(3));
     search.tried.push(3);
-    search.missing_for = PATIENCE / 2;
+    search.missing_for = BUSY_TIMEOUT / 2;
     assert_eq!(
-        holders.next(&search, UpdateSource::Peers, &mut rng),
+        sources.next(&search, UpdateSource::Peers, &mut rng),
         SnapshotStep::Wait,
-        "it has the list and is busy"
+        "the source has the list and is busy"
     );
-    search.missing_for = PATIENCE;
-    assert_eq!(holders.next(&search, UpdateSource::Peers, &mut rng), SnapshotStep::Store);
+    search.missing_for = BUSY_TIMEOUT;
+    assert_eq!(sources.next(&search, UpdateSource::Peers, &mut rng), SnapshotStep::Store);
 }
--- a/crates/routing/tests/all/stages.rs
+++ b/crates/routing/tests/all/stages.rs
@@ -1,4 +1,4 @@
-//! How many engines prefill.
+//! How many engines prefill and how many decode.
 
 use std::sync::Arc;
 
@@ -20,8 +20,8 @@
     (0..prefill + decode).map(engine).collect()
 }
 
-/// An engine that was ordered stays listed in its old stage for seconds. Counted as it is listed, each look would
-/// order one more, until hardly any engine prefills and every prompt waits.
+/// An engine that was ordered to change its stage stays listed in its old stage for seconds. If it counted as
+/// listed, each plan would order one more change, until hardly any engine prefills and every prompt waits.
 #[test]
 fn an_ordered_engine_counts_in_its_new_stage() {
     let engines = engines(9, 11);
@@ -36,11 +36,11 @@
 fn failure_domains_keep_prefill_engines_evenly() {
     let engines = engines(12, 12);
     let changes = plan_stage_changes(engines.iter(), |_| None, false, MEMORY);
-    let given = |domain: &str| {
+    let moved = |domain: &str| {
         let of = |e: &&Endpoint| &*e.domain == domain && changes.iter().any(|c| c.id == e.id);
         engines.iter().filter(of).count()
     };
-    let counts = [given("north"), given("south"), given("west")];
+    let counts = [moved("north"), moved("south"), moved("west")];
     assert!(counts.iter().max().expect("three") - counts.iter().min().expect("three") <= 1, "{counts:?}");
 }
 
@@ -52,8 +52,8 @@
     assert_eq!(plan_stage_changes(all.iter(), |_| None, false, MEMORY).len(), 4);
 }
 
-/// While the system serves, endpoints come and go, and the wanted number wavers by one. An order takes an engine out for
-/// seconds, during which it refuses everything; a small excess is therefore left alone.
+/// While the system serves, endpoints come and go, and the target fluctuates by one. An order takes an engine
+/// out of service for seconds, during which it refuses everything. A small excess is therefore left alone.
 #[test]
 fn a_small_excess_is_left_alone_while_serving() {
     let engines = engines(6, 12);
@@ -62,7 +62,7 @@
     assert_eq!(plan_stage_changes(self::engines(8, 10).iter(), |_| None, true, MEMORY).len(), 3);
 }
 
-/// Decode engines with less memory hold fewer answers, so that more engines must decode.
+/// Decode engines with less memory hold fewer answers at a time, so that more engines must decode.
 #[test]
 fn the_share_follows_the_engines_memory() {
     let all = engines(40, 60);
@@ -71,8 +71,9 @@
     assert!(decode(24_000) > decode(48_000));
 }
 
-/// Six thousand engines of which two thousand prefill. The plan counted each domain anew for each engine and each change, four
-/// billion steps; the instance that orders had no time for anything else, and orders reached engines beside callers.
+/// Six thousand engines, of which two thousand prefill. An earlier version counted each domain again for each
+/// engine and each change, in four billion steps. The instance that gives the orders had no time for anything
+/// else, and orders reached engines while callers used them.
 #[test]
 fn a_plan_for_thousands_of_engines_ends() {
     let engines = engines(2_000, 4_000);
--- a/crates/routing/tests/all/wait_policy.rs
+++ b/crates/routing/tests/all/wait_policy.rs
@@ -1,7 +1,8 @@
-//! Who waits for room, how long, and when a refused caller comes back.
+//! How long requests wait for capacity, and when a refused caller retries.
 //!
-//! The pattern: a burst of four to five seconds at nearly twice what engines hold. The route is that of a small site: first
-//! event within 0.9 s, callers leave after 3.6 s without one, and have 14 s in all.
+//! The scenario: a burst of four to five seconds at nearly twice the engines' capacity. The route is that of
+//! a small site: the first event within 0.9 s, callers leave after 3.6 s without an event, and have 14 s in
+//! all.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,41 +28,44 @@
     }
 }
 
-/// A caller that finds no room must be refused while its instance still can do something for others: a wait beyond its aim
-/// would make it late for certain, and take room from callers who are not. One that comes back is late already and may
-/// wait longer, but it leaves the last room to the others and does not lengthen their queue of prompts.
+/// A new request that finds no capacity must be refused before its goal is missed: a longer wait would make
+/// it late for certain, and take capacity from requests that can be on time. A retry is late already and may
+/// wait longer, but it leaves the last capacity to the others and doesn't lengthen their queue of prompts.
 #[test]
 fn callers_who_can_be_on_time_go_first() {
     let (now, route) = (Instant::now(), route());
     let new = WaitPolicy::for_arrival(now, now + CALLER, &route, false);
-    let back = WaitPolicy::for_arrival(now, now + CALLER, &route, true);
+    let retry = WaitPolicy::for_arrival(now, now + CALLER, &route, true);
     assert!(new.until < now + route.goal, "a prefill still fits behind the wait");
     assert!(
-        back.until > new.until && back.until < now + route.abandon_timeout(),
-        "it still hears the answer"
+        retry.until > new.until && retry.until < now + route.abandon_timeout(),
+        "it still gets the response"
     );
-    assert_eq!((new.headroom(4_000), back.headroom(4_000)), (0, 4_000));
-    assert!(back.prefill_limit(&route) < new.prefill_limit(&route));
+    assert_eq!((new.headroom(4_000), retry.headroom(4_000)), (0, 4_000));
+    assert!(retry.prefill_limit(&route) < new.prefill_limit(&route));
 }
 
-/// All callers that are refused in a burst come back. Within the burst they would be refused again.
+/// All callers that are refused in a burst retry. A retry within the burst would be refused again.
 #[test]
-fn a_refused_caller_comes_back_after_the_burst() {
-    // What is left after a search for room.
+fn a_refused_caller_retries_after_the_burst() {
+    // The rest of the caller's time after a search for capacity.
     let left = Duration::from_millis(13_300);
-    assert!(retry_delay(left).mul_f64(1.25) > BURST, "spread by a quarter, some come after it");
+    assert!(
+        retry_delay(left).mul_f64(1.25) > BURST,
+        "with a spread of a quarter, some retries come after it"
+    );
     assert!(retry_delay(left) < left / 3, "callers wait a third of their time at most");
-    assert!(retry_delay(Duration::from_mins(2)) <= BURST, "a patient caller is not kept away for longer");
+    assert!(retry_delay(Duration::from_mins(2)) <= BURST, "a caller with more time gets no longer delay");
 }
 
-/// A search never outlasts the caller's time, whoever it is for.
+/// A search never outlasts the caller's time, for a new request, a retry or a resumed stream.
 #[test]
 fn a_search_ends_with_the_callers_time() {
     let (now, route) = (Instant::now(), route());
     let until = now + Duration::from_millis(100);
-    for returns in [false, true] {
-        assert_eq!(WaitPolicy::for_arrival(now, until, &route, returns).until, until);
+    for is_retry in [false, true] {
+        assert_eq!(WaitPolicy::for_arrival(now, until, &route, is_retry).until, until);
     }
     assert_eq!(WaitPolicy::for_resume(now, until).until, until);
-    assert!(!WaitPolicy::for_resume(now, until).late, "its caller has seen a part already");
+    assert!(!WaitPolicy::for_resume(now, until).late, "its caller has received a part already");
 }
