--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -27,7 +27,7 @@
 const REMOTE_LATENCY_SECONDS: f64 = 0.006;
 
 /// Tokens that another failure domain adds to those in flight at a prefill engine, about one usual prompt: a
-/// prompt leaves its domain only where it would wait behind another one there.
+/// prompt leaves its domain only where it would otherwise wait behind another prompt in it.
 const REMOTE_PREFILL_TOKENS: f64 = 3_000.0;
 /// The same at a decode engine, as a fraction of its memory.
 ///
@@ -327,8 +327,7 @@
         self.by_id.keys().filter(|id| !present.contains(*id)).cloned().collect()
     }
 
-    /// Whether the list alone determines which endpoints are in use, so that another instance can rely
-    /// on it.
+    /// Whether the list alone determines which endpoints are in use, so that another instance can rely on it.
     pub fn all_confirmed(&self, now: Instant) -> bool {
         self.uncertain_until.is_none_or(|until| now >= until)
     }
@@ -505,7 +504,7 @@
         open.map(|entry| self.rates.rate(entry.tag)).sum()
     }
 
-    /// Removes the rates of endpoints that are not listed and have advertised none for long.
+    /// Removes the rates of endpoints that are not listed and for which no rate was observed for long.
     pub fn expire_rates(&mut self, now: Instant) {
         if self.rates.is_empty() {
             self.found_share.clear();
--- a/crates/routing/src/snapshot_sources.rs
+++ b/crates/routing/src/snapshot_sources.rs
@@ -1,12 +1,12 @@
 //! Where an instance gets the complete list of endpoints from.
 //!
 //! An instance that starts, or that can't continue from its revision of the store, needs the complete list.
-//! Read from the store that is some thirty calls and two megabytes for each instance where endpoints are
-//! thousands. Hundreds of instances that start at once would take all calls and the whole link of the store
-//! for many seconds, and no instance would receive a change meanwhile. So the store readers of a failure
-//! domain read the list too, and the others get a snapshot of it from peers of their domain. An instance with
-//! a snapshot passes it on, so that the number of sources multiplies with each round and the time grows with
-//! the logarithm of a domain's instances.
+//! With thousands of endpoints that is some thirty calls to the store and two megabytes for each instance.
+//! Hundreds of instances that start at once would take all calls and the whole link of the store for many
+//! seconds, and no instance would receive a change meanwhile. So the store readers of a failure domain read
+//! the list too, and the others get a snapshot of it from peers of their domain. An instance with a snapshot
+//! passes it on, so that the number of sources multiplies with each round and the time grows with the
+//! logarithm of a domain's instances.
 //!
 //! Every wait is bounded: an instance that finds no source for a while reads the store itself. A snapshot is
 //! as good as the revision and the age that it carries; [`Freshness`](crate::Freshness) treats it like any
@@ -81,7 +81,7 @@
         self.known.retain(|&peer, _| is_responsive(peer));
     }
 
-    /// Whether none is known.
+    /// Whether no source is known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/routing/tests/all/endpoints.rs
+++ b/crates/routing/tests/all/endpoints.rs
@@ -151,7 +151,7 @@
 }
 
 /// Every engine that responds is full, and one is unreachable. An attempt at the unreachable one costs a
-/// caller a timeout and yields nothing, while a wait for capacity does.
+/// caller a timeout and yields nothing. The request must wait for capacity instead.
 #[test]
 fn an_unreachable_engine_is_no_alternative_to_full_ones() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
--- a/crates/routing/tests/all/snapshot_sources.rs
+++ b/crates/routing/tests/all/snapshot_sources.rs
@@ -1,8 +1,8 @@
 //! Hundreds of instances that need a list of thousands of endpoints at the same moment.
 //!
-//! The scenario: all are started, most are killed and started, or the store drops the history
-//! from which they would continue. If each instance read the store for itself, there would be some thirty calls an
-//! instance, and the store's link would be busy for ten seconds.
+//! The scenario: all are started, most are killed and started, or the store drops the history from which they
+//! would continue. If each instance read the store for itself, there would be some thirty calls an instance,
+//! and the store's link would be busy for ten seconds.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/routing/tests/all/store_updates.rs
+++ b/crates/routing/tests/all/store_updates.rs
@@ -61,7 +61,7 @@
     assert!(left > ms(2_300), "a pause after a change and a watch fit into it: {left:?}");
 }
 
-/// Updates arrive late, twice and out of order. None of them must make the knowledge look fresher than it is.
+/// Updates arrive late, twice and out of order. None of them may make the knowledge look fresher than it is.
 #[test]
 fn an_old_update_confirms_nothing() {
     let mut freshness = Freshness::new(BOUND);
