--- a/crates/routing/src/rates.rs
+++ b/crates/routing/src/rates.rs
@@ -182,8 +182,8 @@
 }
 
 impl<P: Copy + Eq + Hash> Rates<P> {
-    /// Sets the number of known instances, this one included, and the fraction of each rate that the reachable ones
-    /// may use.
+    /// Sets the number of known instances, this one included, and the fraction of each rate that the
+    /// reachable ones may use.
     pub fn share_among(&mut self, now: Instant, instances: usize, reachable_share: f64) {
         let before = self.own_share();
         for bucket in self.buckets.values_mut() {
