--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -14,40 +14,40 @@
 use crate::{CallerKey, IdempotencyKey, InstanceId, RequestId, Ticket};
 
 /// How long the home has to answer, inquiries among homes included.
-const CLAIM: Duration = Duration::from_millis(1_500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// After a freeze, requests that came meanwhile are read within this time.
-const STUPOR: Duration = Duration::from_secs(5);
+const POST_FREEZE_WINDOW: Duration = Duration::from_secs(5);
 /// Time between two rounds that ask silent homes again.
-const RECLAIM: Duration = Duration::from_millis(250);
+const RECLAIM_INTERVAL: Duration = Duration::from_millis(250);
 /// When to try a key again that cannot be told about or is in use.
-const KEY_RETRY: Duration = Duration::from_secs(2);
+const KEY_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// How long the fate of a keyed request is remembered here: a connection between instances, and what lies in it, ends sooner.
-const ENDED: Duration = Duration::from_mins(1);
+const ENDED_CLAIM_RETENTION: Duration = Duration::from_mins(1);
 /// Most fates that are remembered, with answers of [`StoredResponse::MAX_BODY_BYTES`](crate::StoredResponse::MAX_BODY_BYTES) bytes each: 16 MB.
-const ENDED_MAX: usize = 1024;
+const ENDED_CLAIMS_MAX: usize = 1024;
 
 /// A keyed request that has ended.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct EndedClaim {
     at: Instant,
     outcome: ClaimOutcome,
 }
 
 impl Instance {
     pub(crate) fn claim(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
-        let tells = self.requests.get(key).key.is_some_and(|k| k.born.is_some());
-        let woke = self.woke.is_some_and(|at| now.duration_since(at) < STUPOR);
-        if woke && !tells {
+        let has_creation_time = self.requests.get(key).key.is_some_and(|k| k.born.is_some());
+        let recently_frozen = self.freeze_ended.is_some_and(|at| now.duration_since(at) < POST_FREEZE_WINDOW);
+        if recently_frozen && !has_creation_time {
             // It may have lain here for longer than any home remembers keys, and a grant could be a second one.
-            return self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY), out);
+            return self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY_AFTER), out);
         }
         self.requests.get_mut(key).phase = Phase::Claiming;
-        self.requests.set_due(key, now + CLAIM);
-        self.ask_home(now, key, out);
+        self.requests.set_due(key, now + CLAIM_TIMEOUT);
+        self.send_claim(now, key, out);
     }
 
-    fn ask_home(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
+    fn send_claim(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let request = self.requests.get(key);
         let Some(CallerKey { key: idempotency, born }) = request.key else {
             return;
@@ -61,7 +61,7 @@
     }
 
     /// The home answered.
-    pub(crate) fn claimed(
+    pub(crate) fn claim_answered(
         &mut self,
         now: Instant,
         from: InstanceId,
@@ -76,36 +76,36 @@
         });
         let Some(key) = waiting else {
             if answer == ClaimAnswer::Granted {
-                self.tell_fate(now, from, idempotency, id, out);
+                self.resend_outcome(now, from, idempotency, id, out);
             }
             return;
         };
         match answer {
-            ClaimAnswer::Granted => self.granted(now, key, from, out),
+            ClaimAnswer::Granted => self.claim_granted(now, key, from, out),
             ClaimAnswer::Ran(Some(stored)) => {
-                let request = self.close(now, key);
+                let request = self.close_request(now, key);
                 self.counters.replayed += 1;
                 out.push(Effect::Replay { ticket: request.ticket, stored });
             }
             ClaimAnswer::Ran(None) => self.refuse(now, key, Refusal::new(ErrorKind::KeyUsed), out),
             ClaimAnswer::InUse => {
-                self.refuse(now, key, Refusal::retryable(ErrorKind::KeyInUse, KEY_RETRY), out);
+                self.refuse(now, key, Refusal::retryable(ErrorKind::KeyInUse, KEY_RETRY_AFTER), out);
             }
             ClaimAnswer::Unknown => {
-                self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY), out);
+                self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY_AFTER), out);
             }
             ClaimAnswer::Lost => self.refuse(now, key, Refusal::new(ErrorKind::KeyUnknown), out),
-            ClaimAnswer::Revision(theirs) => self.other_list(now, key, from, theirs, out),
+            ClaimAnswer::Revision(theirs) => self.resolve_list_mismatch(now, key, from, theirs, out),
         }
     }
 
-    fn granted(&mut self, now: Instant, key: RequestKey, home: InstanceId, out: &mut Vec<Effect>) {
+    fn claim_granted(&mut self, now: Instant, key: RequestKey, home: InstanceId, out: &mut Vec<Effect>) {
         self.grants.insert(self.requests.get(key).id, home);
         self.admit(now, key, out);
     }
 
     /// The home uses another list: whoever is behind catches up, and the claim is made again.
-    fn other_list(
+    fn resolve_list_mismatch(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -124,24 +124,24 @@
         {
             self.deliver(now, home, Message::List(list), out);
         }
-        self.ask_home(now, key, out);
+        self.send_claim(now, key, out);
     }
 
     /// Asks homes again that have not answered. A claim or its answer can be lost with a connection; asking again
     /// is harmless, because a home knows the request that it granted.
-    pub(crate) fn review_claims(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(crate) fn resend_due_claims(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if now >= self.next_reclaim {
-            self.next_reclaim = now + RECLAIM;
-            self.reclaim(now, out);
+            self.next_reclaim = now + RECLAIM_INTERVAL;
+            self.resend_claims(now, out);
         }
     }
 
     /// Open claims go to the home by the list in use.
-    pub(crate) fn reclaim(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(crate) fn resend_claims(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let claiming = self.requests.iter().filter(|(_, r)| r.phase == Phase::Claiming);
         let keys: Vec<RequestKey> = claiming.map(|(key, _)| key).collect();
         for key in keys {
-            self.ask_home(now, key, out);
+            self.send_claim(now, key, out);
         }
     }
 
@@ -151,7 +151,7 @@
     /// request after it has ended, or forget that and grant it again. Unanswered, such a grant would keep the key "in use"
     /// for every retry of the caller. So each grant of a request that ended is answered, for as long as a claim can lie in
     /// the socket of a home that is frozen.
-    fn tell_fate(
+    fn resend_outcome(
         &mut self,
         now: Instant,
         home: InstanceId,
@@ -159,33 +159,33 @@
         id: RequestId,
         out: &mut Vec<Effect>,
     ) {
-        let Some(ended) = self.ended.get(&id) else { return };
+        let Some(ended) = self.ended_claims.get(&id) else { return };
         let message = Message::Settle { key, request: id, outcome: ended.outcome.clone() };
         self.deliver(now, home, message, out);
     }
 
     /// Remembers the fate of a keyed request; the oldest is forgotten if there are too many.
-    fn remember(&mut self, now: Instant, id: RequestId, outcome: ClaimOutcome) {
-        self.ended.insert(id, Ended { at: now, outcome });
-        while self.ended.len() > ENDED_MAX {
-            self.ended.pop_first();
+    fn remember_outcome(&mut self, now: Instant, id: RequestId, outcome: ClaimOutcome) {
+        self.ended_claims.insert(id, EndedClaim { at: now, outcome });
+        while self.ended_claims.len() > ENDED_CLAIMS_MAX {
+            self.ended_claims.pop_first();
         }
     }
 
     /// Forgets fates that no home can ask for any more.
-    pub(crate) fn forget_ended(&mut self, now: Instant) {
-        self.ended.retain(|_, ended| now.duration_since(ended.at) < ENDED);
+    pub(crate) fn expire_ended_claims(&mut self, now: Instant) {
+        self.ended_claims.retain(|_, ended| now.duration_since(ended.at) < ENDED_CLAIM_RETENTION);
     }
 
     /// Remembers a request that ended while it waited for a grant: it never ran.
-    pub(crate) fn forgo(&mut self, now: Instant, request: &Request) {
+    pub(crate) fn remember_unclaimed(&mut self, now: Instant, request: &Request) {
         if request.phase == Phase::Claiming {
-            self.remember(now, request.id, ClaimOutcome::NotRun);
+            self.remember_outcome(now, request.id, ClaimOutcome::NotRun);
         }
     }
 
     /// Tells the home what became of a request that held a claim.
-    pub(crate) fn settle(
+    pub(crate) fn settle_claim(
         &mut self,
         now: Instant,
         request: &Request,
@@ -198,7 +198,7 @@
         let Some(home) = self.grants.remove(&request.id) else {
             return;
         };
-        self.remember(now, request.id, outcome.clone());
+        self.remember_outcome(now, request.id, outcome.clone());
         self.deliver(now, home, Message::Settle { key, request: request.id, outcome }, out);
     }
 }
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -20,15 +20,15 @@
 
 /// How long after a loss an endpoint that cannot be reached counts as crashed under the lost request. An engine that lives
 /// answers within this, and one that restarts needs longer.
-const LOSS: Duration = Duration::from_secs(2);
+const LOSS_WINDOW: Duration = Duration::from_secs(2);
 /// How far apart a loss and the moment in which a caller left may be for its request to have been present: an engine stops
 /// within this what was cancelled.
-const PRESENT: Duration = Duration::from_millis(500);
+const PRESENCE_WINDOW: Duration = Duration::from_millis(500);
 /// Time that an endpoint needs at least between two crashes, in milliseconds. Two instances that see the same crash name it by
 /// the same period of this length, but for those that lie on its border.
-const RESTART: u64 = 5_000;
+const RESTART_MIN_MS: u64 = 5_000;
 /// Time between two tellings of what is new; one of them is enough, the others are for messages that were lost.
-const TELL: Duration = Duration::from_secs(1);
+const CRASH_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A request that an endpoint lost.
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
 
 impl Instance {
     /// An endpoint lost a request, and may have crashed under it.
-    pub(crate) fn lost(
+    pub(crate) fn request_lost(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -49,7 +49,7 @@
     ) {
         let request = self.requests.get(key).fingerprint;
         let target = self.endpoints.get(endpoint).target();
-        self.losses.retain(|loss| now.duration_since(loss.at) < LOSS);
+        self.losses.retain(|loss| now.duration_since(loss.at) < LOSS_WINDOW);
         self.losses.push(Loss { request, endpoint: target.id, at: now });
         if !matches!(self.requests.get(key).phase, Phase::Calling { .. }) {
             out.push(Effect::Poll { target });
@@ -57,7 +57,7 @@
     }
 
     /// The caller of a request that is at an endpoint has left.
-    pub(crate) fn left(&mut self, now: Instant, key: RequestKey) {
+    pub(crate) fn caller_left(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         let Some(endpoint) = request.phase.endpoint() else { return };
         let loss = Loss {
@@ -65,65 +65,69 @@
             endpoint: self.endpoints.get(endpoint).target().id,
             at: now,
         };
-        self.abandoned.retain(|loss| now.duration_since(loss.at) < LOSS);
+        self.abandoned.retain(|loss| now.duration_since(loss.at) < LOSS_WINDOW);
         self.abandoned.push(loss);
     }
 
     /// Takes out the requests whose callers left an endpoint at about a time.
-    fn present(&mut self, at: Instant, endpoint: impl Fn(EndpointId) -> bool) -> Vec<Loss> {
+    fn take_abandoned(&mut self, at: Instant, endpoint: impl Fn(EndpointId) -> bool) -> Vec<Loss> {
         let apart = |other: Instant| at.max(other).duration_since(at.min(other));
-        self.abandoned.extract_if(.., |loss| endpoint(loss.endpoint) && apart(loss.at) < PRESENT).collect()
+        self.abandoned
+            .extract_if(.., |loss| endpoint(loss.endpoint) && apart(loss.at) < PRESENCE_WINDOW)
+            .collect()
     }
 
     /// An endpoint answers, so that it has not crashed.
-    pub(crate) fn lives(&mut self, endpoint: EndpointId) {
+    pub(crate) fn endpoint_reachable(&mut self, endpoint: EndpointId) {
         self.losses.retain(|loss| loss.endpoint != endpoint);
         self.abandoned.retain(|loss| loss.endpoint != endpoint);
     }
 
     /// An endpoint cannot be reached.
-    pub(crate) fn unreached(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Effect>) {
+    pub(crate) fn endpoint_unreachable(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Effect>) {
         let (mut lost, rest): (Vec<_>, Vec<_>) = self.losses.drain(..).partition(|l| l.endpoint == endpoint);
         self.losses = rest;
         if let Some(first) = lost.first().map(|loss| loss.at) {
-            lost.extend(self.present(first, |other| other == endpoint));
+            lost.extend(self.take_abandoned(first, |other| other == endpoint));
         }
-        self.accuse(now, lost, out);
+        self.attribute_crash(now, lost, out);
     }
 
     /// Counts a crash against each of these requests.
-    fn accuse(&mut self, now: Instant, lost: Vec<Loss>, out: &mut Vec<Effect>) {
-        for Loss { request, endpoint, at } in lost.into_iter().filter(|l| now.duration_since(l.at) < LOSS) {
-            let crash = Crash { request, endpoint: self.start_of(endpoint, at), at };
-            self.next_telling = now;
+    fn attribute_crash(&mut self, now: Instant, lost: Vec<Loss>, out: &mut Vec<Effect>) {
+        for Loss { request, endpoint, at } in
+            lost.into_iter().filter(|l| now.duration_since(l.at) < LOSS_WINDOW)
+        {
+            let crash = Crash { request, endpoint: self.incarnation_at(endpoint, at), at };
+            self.next_crash_update = now;
             if self.quarantine.observe_crash(now, crash) {
-                self.enforce(now, request, out);
+                self.refuse_quarantined(now, request, out);
             }
         }
     }
 
     /// The start of an endpoint that crashed at a time.
-    fn start_of(&self, endpoint: EndpointId, at: Instant) -> EndpointIncarnation {
-        let lived = at.saturating_duration_since(self.started).as_millis() as u64;
-        let period = (self.identity.incarnation + lived) / RESTART;
+    fn incarnation_at(&self, endpoint: EndpointId, at: Instant) -> EndpointIncarnation {
+        let uptime_ms = at.saturating_duration_since(self.started).as_millis() as u64;
+        let period = (self.identity.incarnation + uptime_ms) / RESTART_MIN_MS;
         EndpointIncarnation(xxh3_64_with_seed(&endpoint.0.to_le_bytes(), period))
     }
 
     /// A request is in quarantine from now on; those that wait here with the same content are given up at once.
-    fn enforce(&mut self, now: Instant, fingerprint: Fingerprint, out: &mut Vec<Effect>) {
+    fn refuse_quarantined(&mut self, now: Instant, fingerprint: Fingerprint, out: &mut Vec<Effect>) {
         out.push(Effect::Audit(Audit::Quarantined { request: fingerprint }));
         let waits = |r: &crate::requests::Request| r.phase == Phase::Waiting && r.fingerprint == fingerprint;
         let waiting = self.requests.iter().filter(|(_, request)| waits(request));
         let keys: Vec<RequestKey> = waiting.map(|(key, _)| key).collect();
         for key in keys {
-            let Some(refusal) = self.quarantined(now, key) else { continue };
+            let Some(refusal) = self.quarantine_refusal(now, key) else { continue };
             self.withdraw(now, key, out);
             self.refuse(now, key, refusal, out);
         }
     }
 
     /// Why a request is not sent to an endpoint, if endpoints crash under it.
-    pub(crate) fn quarantined(&self, now: Instant, key: RequestKey) -> Option<Refusal> {
+    pub(crate) fn quarantine_refusal(&self, now: Instant, key: RequestKey) -> Option<Refusal> {
         let request = self.requests.get(key);
         let left = self.quarantine.until(now, request.fingerprint)?.duration_since(now);
         // What ran may not be called "not run".
@@ -132,13 +136,13 @@
     }
 
     /// Tells the others what is new, and again for a while.
-    pub(crate) fn tell_crashes(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(crate) fn send_crashes(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.quarantine.expire(now);
-        if now < self.next_telling {
+        if now < self.next_crash_update {
             return;
         }
-        self.next_telling = now + TELL;
-        let Some(message) = self.crash_news(now, false) else { return };
+        self.next_crash_update = now + CRASH_UPDATE_INTERVAL;
+        let Some(message) = self.crash_update(now, false) else { return };
         let members: Vec<InstanceId> = self.members.iter().map(|(id, _)| id).collect();
         for to in members {
             self.deliver(now, to, message.clone(), out);
@@ -146,17 +150,17 @@
     }
 
     /// What a member is told that is new, or all that members are told now.
-    pub(crate) fn crash_news(&self, now: Instant, newcomer: bool) -> Option<Message> {
-        let news = self.quarantine.update(now, newcomer);
-        if news.crashes.is_empty() && news.served.is_empty() {
+    pub(crate) fn crash_update(&self, now: Instant, newcomer: bool) -> Option<Message> {
+        let update = self.quarantine.update(now, newcomer);
+        if update.crashes.is_empty() && update.served.is_empty() {
             return None;
         }
-        let crashes = news.crashes.into_iter().map(|crash| CrashReport::new(now, crash)).collect();
-        Some(Message::Crashes { crashes, served: news.served })
+        let crashes = update.crashes.into_iter().map(|crash| CrashReport::new(now, crash)).collect();
+        Some(Message::Crashes { crashes, served: update.served })
     }
 
     /// A member tells of crashes, and of requests that were answered whole after such.
-    pub(crate) fn told_crashes(
+    pub(crate) fn merge_crashes(
         &mut self,
         now: Instant,
         crashes: Vec<CrashReport>,
@@ -169,13 +173,16 @@
         for report in crashes {
             let crash = report.crash(now, self.started);
             if self.quarantine.merge_crash(now, crash) {
-                self.enforce(now, report.request, out);
+                self.refuse_quarantined(now, report.request, out);
             }
-            let starts: Vec<_> =
-                self.abandoned.iter().map(|l| (l.endpoint, self.start_of(l.endpoint, crash.at))).collect();
+            let starts: Vec<_> = self
+                .abandoned
+                .iter()
+                .map(|l| (l.endpoint, self.incarnation_at(l.endpoint, crash.at)))
+                .collect();
             let ended = |endpoint| starts.contains(&(endpoint, crash.endpoint));
-            let present = self.present(crash.at, ended);
-            self.accuse(now, present, out);
+            let present = self.take_abandoned(crash.at, ended);
+            self.attribute_crash(now, present, out);
         }
     }
 }
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -15,21 +15,21 @@
 
 use crate::event::{EngineLoad, Target};
 use crate::ids::EndpointKey;
-use crate::slots::Use;
+use crate::slots::Usage;
 use crate::{EndpointId, InstanceId};
 
 /// Failures in a row after which an endpoint is left alone for a while.
-const FAILURES: u32 = 2;
+const FAILURES_BEFORE_PAUSE: u32 = 2;
 /// Polls in a row without an answer after which an endpoint counts as out of reach.
-const UNANSWERED: u32 = 3;
+const UNANSWERED_POLLS_MAX: u32 = 3;
 /// First pause of an endpoint that failed; doubles up to [`PAUSE_MAX`].
-const PAUSE: Duration = Duration::from_millis(500);
+const FIRST_PAUSE: Duration = Duration::from_millis(500);
 const PAUSE_MAX: Duration = Duration::from_secs(8);
 /// Loads in thousandths that differ by less than this are taken for equal, and the nearer endpoint is chosen: a
 /// stream inside its failure domain survives every cut between domains.
-const STEP: u32 = 250;
+const LOAD_TOLERANCE: u32 = 250;
 /// Reports older than this say nothing about others any more.
-const REPORT_AGE: Duration = Duration::from_secs(5);
+const REPORT_AGE_MAX: Duration = Duration::from_secs(5);
 
 /// How an endpoint is chosen among those with room.
 ///
@@ -92,15 +92,15 @@
     own: u32,
     others: u32,
     /// Requests that the last report named and that the owner of the pool does not account for.
-    foreign: u32,
+    unaccounted: u32,
     /// All that the last report named, own work included.
-    listed: u32,
-    reported: Option<Instant>,
-    failures: u32,
-    paused: Option<Instant>,
+    reported_requests: u32,
+    reported_at: Option<Instant>,
+    consecutive_failures: u32,
+    paused_until: Option<Instant>,
     /// Polls since the last report. Kept apart from `failures`: an engine that answers polls but no work must
     /// not be forgiven by its reports.
-    unanswered: u32,
+    unanswered_polls: u32,
 }
 
 impl EndpointEntry {
@@ -113,7 +113,8 @@
     }
 
     fn usable(&self, now: Instant) -> bool {
-        let reached = self.unanswered < UNANSWERED && self.paused.is_none_or(|until| now >= until);
+        let reached = self.unanswered_polls < UNANSWERED_POLLS_MAX
+            && self.paused_until.is_none_or(|until| now >= until);
         !self.is_leaving() && reached
     }
 
@@ -130,7 +131,7 @@
     groups: HashMap<(String, Role), Vec<EndpointKey>>,
     shares: HashMap<String, u32>,
     placement: Placement,
-    turn: usize,
+    next_round_robin: usize,
 }
 
 /// What a choice is made for.
@@ -143,7 +144,7 @@
     /// Endpoints that failed this request already.
     pub(crate) tried: &'a [EndpointKey],
     /// Most requests for each 100 slots.
-    pub(crate) percent: u32,
+    pub(crate) max_load_percent: u32,
 }
 
 impl EndpointTable {
@@ -159,10 +160,10 @@
             if entry.address != endpoint.address {
                 // Another process under an old name: what the old one said of itself says nothing of it.
                 entry.leaving = false;
-                entry.failures = 0;
-                entry.paused = None;
-                entry.unanswered = 0;
-                entry.reported = None;
+                entry.consecutive_failures = 0;
+                entry.paused_until = None;
+                entry.unanswered_polls = 0;
+                entry.reported_at = None;
                 entry.others = 0;
             }
             entry.name.clone_from(&endpoint.name);
@@ -176,7 +177,7 @@
             entry.removed = false;
         }
         self.shares = configuration.sites.iter().map(|s| (s.name.clone(), s.share)).collect();
-        self.sweep();
+        self.remove_idle();
         self.groups.clear();
         for (key, entry) in &self.endpoints {
             self.groups.entry((entry.pool.clone(), entry.role)).or_default().push(key);
@@ -198,19 +199,19 @@
             removed: false,
             own: 0,
             others: 0,
-            foreign: 0,
-            listed: 0,
-            reported: None,
-            failures: 0,
-            paused: None,
-            unanswered: 0,
+            unaccounted: 0,
+            reported_requests: 0,
+            reported_at: None,
+            consecutive_failures: 0,
+            paused_until: None,
+            unanswered_polls: 0,
         });
         self.by_id.insert(id, key);
         key
     }
 
     /// Forgets removed endpoints without work.
-    fn sweep(&mut self) {
+    fn remove_idle(&mut self) {
         let by_id = &mut self.by_id;
         self.endpoints.retain(|_, entry| {
             let keep = !entry.removed || entry.own > 0;
@@ -230,7 +231,7 @@
     }
 
     /// Id of an endpoint that may be gone by now.
-    pub(crate) fn known(&self, key: EndpointKey) -> Option<EndpointId> {
+    pub(crate) fn id_of(&self, key: EndpointKey) -> Option<EndpointId> {
         self.endpoints.get(key).map(|e| e.id)
     }
 
@@ -245,12 +246,12 @@
         engines.map(EndpointEntry::target).collect()
     }
 
-    /// Takes a slot; each is given back once by [`EndpointTable::release`].
-    pub(crate) fn take(&mut self, key: EndpointKey) {
+    /// Takes a slot; each is given back once by [`EndpointTable::release_slot`].
+    pub(crate) fn take_slot(&mut self, key: EndpointKey) {
         self.endpoints[key].own += 1;
     }
 
-    pub(crate) fn release(&mut self, key: EndpointKey) {
+    pub(crate) fn release_slot(&mut self, key: EndpointKey) {
         let entry = &mut self.endpoints[key];
         assert!(entry.own > 0, "a slot of {} is given back twice", entry.name);
         entry.own -= 1;
@@ -265,13 +266,14 @@
     }
 
     /// Whether any endpoint could ever serve the need, full or not.
-    pub(crate) fn serves(&self, now: Instant, pool: &str, role: Role) -> bool {
-        self.group(pool, role).iter().any(|&k| self.open(now, &self.endpoints[k]))
+    pub(crate) fn has_open(&self, now: Instant, pool: &str, role: Role) -> bool {
+        self.group(pool, role).iter().any(|&k| self.is_open(now, &self.endpoints[k]))
     }
 
     /// Slots of usable endpoints of a kind.
     pub(crate) fn capacity(&self, now: Instant, pool: &str, role: Role) -> u32 {
-        let open = self.group(pool, role).iter().map(|&k| &self.endpoints[k]).filter(|e| self.open(now, e));
+        let open =
+            self.group(pool, role).iter().map(|&k| &self.endpoints[k]).filter(|e| self.is_open(now, e));
         open.map(|e| e.slots).sum()
     }
 
@@ -298,13 +300,14 @@
             }
             Placement::RoundRobin => {
                 let any = self.untried(now, need);
-                self.turn += 1;
-                (!any.is_empty()).then(|| any[self.turn % any.len()])
+                self.next_round_robin += 1;
+                (!any.is_empty()).then(|| any[self.next_round_robin % any.len()])
             }
             Placement::LeastReported => {
                 let any = self.untried(now, need);
-                any.into_iter()
-                    .min_by_key(|&k| self.endpoints[k].listed * 1000 / self.endpoints[k].slots.max(1))
+                any.into_iter().min_by_key(|&k| {
+                    self.endpoints[k].reported_requests * 1000 / self.endpoints[k].slots.max(1)
+                })
             }
         }
     }
@@ -318,17 +321,17 @@
         &self,
         now: Instant,
         need: &Need<'_>,
-        used: impl Fn(EndpointKey) -> Use,
+        used: impl Fn(EndpointKey) -> Usage,
         rng: &mut SmallRng,
     ) -> Option<(EndpointKey, EndpointKey)> {
-        let fits = |role: Role, percent: u32| {
+        let fits = |role: Role, max_load_percent: u32| {
             let used = &used;
             move |k: &EndpointKey| {
                 let entry = &self.endpoints[*k];
-                let load = u64::from(used(*k).requests + entry.foreign);
-                let room = load * 100 < u64::from(entry.slots) * u64::from(percent);
-                let known = entry.reported.is_some() && !need.tried.contains(k);
-                entry.role == role && room && known && self.open(now, entry)
+                let load = u64::from(used(*k).requests + entry.unaccounted);
+                let has_free_slots = load * 100 < u64::from(entry.slots) * u64::from(max_load_percent);
+                let known = entry.reported_at.is_some() && !need.tried.contains(k);
+                entry.role == role && has_free_slots && known && self.is_open(now, entry)
             }
         };
         let decodes = self.group(need.pool, Role::Decode).iter().copied();
@@ -336,14 +339,14 @@
         let site = self.draw_site(&decodes, rng)?;
         let decode = decodes.into_iter().filter(|&k| self.endpoints[k].site == site).min_by_key(|&k| {
             let entry = &self.endpoints[k];
-            let load = (used(k).requests + entry.foreign) * 1000 / entry.slots.max(1);
-            (load / STEP, entry.domain != need.domain, load, rng.random::<u32>())
+            let load = (used(k).requests + entry.unaccounted) * 1000 / entry.slots.max(1);
+            (load / LOAD_TOLERANCE, entry.domain != need.domain, load, rng.random::<u32>())
         })?;
         let near = &self.endpoints[decode].domain;
         let prefills = self.group(need.pool, Role::Prefill).iter().copied();
-        let prefill = prefills.filter(fits(Role::Prefill, need.percent)).min_by_key(|&k| {
+        let prefill = prefills.filter(fits(Role::Prefill, need.max_load_percent)).min_by_key(|&k| {
             let entry = &self.endpoints[k];
-            (used(k).tokens, entry.foreign, entry.domain != *near, rng.random::<u32>())
+            (used(k).tokens, entry.unaccounted, entry.domain != *near, rng.random::<u32>())
         })?;
         Some((prefill, decode))
     }
@@ -360,8 +363,9 @@
     fn two_choices(&self, now: Instant, need: &Need<'_>, rng: &mut SmallRng) -> Option<EndpointKey> {
         let fits = |k: &EndpointKey| {
             let entry = &self.endpoints[*k];
-            let room = u64::from(entry.load()) * 100 < u64::from(entry.slots) * u64::from(need.percent);
-            self.open(now, entry) && room && !need.tried.contains(k)
+            let has_free_slots =
+                u64::from(entry.load()) * 100 < u64::from(entry.slots) * u64::from(need.max_load_percent);
+            self.is_open(now, entry) && has_free_slots && !need.tried.contains(k)
         };
         let fitting: Vec<EndpointKey> =
             self.group(need.pool, need.role).iter().copied().filter(fits).collect();
@@ -370,11 +374,15 @@
             fitting.into_iter().filter(|&k| self.endpoints[k].site == site).collect();
         let a = within[rng.random_range(0..within.len())];
         let b = within[rng.random_range(0..within.len())];
-        Some(if self.rank(a, need.domain) <= self.rank(b, need.domain) { a } else { b })
+        Some(if self.load_and_distance(a, need.domain) <= self.load_and_distance(b, need.domain) {
+            a
+        } else {
+            b
+        })
     }
 
     /// Whether an endpoint takes new work, full or not.
-    fn open(&self, now: Instant, entry: &EndpointEntry) -> bool {
+    fn is_open(&self, now: Instant, entry: &EndpointEntry) -> bool {
         entry.usable(now) && self.share(&entry.site) > 0
     }
 
@@ -402,43 +410,43 @@
     }
 
     /// Load per slot in thousandths, then distance.
-    fn rank(&self, key: EndpointKey, domain: &str) -> (u32, bool) {
+    fn load_and_distance(&self, key: EndpointKey, domain: &str) -> (u32, bool) {
         let entry = &self.endpoints[key];
         (entry.load() * 1000 / entry.slots.max(1), entry.domain != domain)
     }
 
-    /// Takes in a report; `me` tells own work from that of others, and `foreign` is what the owner of the pool
+    /// Takes in a report; `me` tells own work from that of others, and `unaccounted` is what the owner of the pool
     /// does not account for. Says whether the endpoint was out of reach.
-    pub(crate) fn report(
+    pub(crate) fn observe_load(
         &mut self,
         now: Instant,
         key: EndpointKey,
         me: InstanceId,
         report: &EngineLoad,
-        foreign: u32,
+        unaccounted: u32,
     ) -> bool {
         let entry = &mut self.endpoints[key];
-        entry.foreign = foreign;
+        entry.unaccounted = unaccounted;
         let others = report.running.iter().filter(|r| r.attempt.request.instance != me).count();
         entry.others = others as u32;
-        entry.listed = report.running.len() as u32;
-        entry.reported = Some(now);
+        entry.reported_requests = report.running.len() as u32;
+        entry.reported_at = Some(now);
         entry.leaving = report.leaving;
-        std::mem::take(&mut entry.unanswered) >= UNANSWERED
+        std::mem::take(&mut entry.unanswered_polls) >= UNANSWERED_POLLS_MAX
     }
 
     /// A poll went unanswered. Says whether the endpoint counts as out of reach from now on.
-    pub(crate) fn unreported(&mut self, key: EndpointKey) -> bool {
+    pub(crate) fn observe_unanswered_poll(&mut self, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
-        entry.unanswered += 1;
-        entry.unanswered == UNANSWERED
+        entry.unanswered_polls += 1;
+        entry.unanswered_polls == UNANSWERED_POLLS_MAX
     }
 
     /// Forgets what old reports said about others.
-    pub(crate) fn age(&mut self, now: Instant) {
+    pub(crate) fn expire_reports(&mut self, now: Instant) {
         for entry in self.endpoints.values_mut() {
-            if entry.reported.is_some_and(|at| now.duration_since(at) > REPORT_AGE) {
-                entry.reported = None;
+            if entry.reported_at.is_some_and(|at| now.duration_since(at) > REPORT_AGE_MAX) {
+                entry.reported_at = None;
                 entry.others = 0;
             }
         }
@@ -450,15 +458,15 @@
     }
 
     /// The endpoint itself said that it leaves.
-    pub(crate) fn leaving(&mut self, key: EndpointKey) {
+    pub(crate) fn observe_leaving(&mut self, key: EndpointKey) {
         self.endpoints[key].leaving = true;
     }
 
     /// A step there went well. Returns whether the endpoint had been paused.
-    pub(crate) fn succeeded(&mut self, key: EndpointKey) -> bool {
+    pub(crate) fn observe_success(&mut self, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
-        entry.failures = 0;
-        entry.paused.take().is_some()
+        entry.consecutive_failures = 0;
+        entry.paused_until.take().is_some()
     }
 
     /// A step there failed. Returns whether the endpoint is paused from now on and was not before.
@@ -466,15 +474,15 @@
     /// Without the pause every request would learn on its own, by its own timeout, that an endpoint is gone;
     /// callers would see that as a run of slow answers. The pause is short and ends by itself, so a wrong one
     /// costs little.
-    pub(crate) fn failed(&mut self, now: Instant, key: EndpointKey) -> bool {
+    pub(crate) fn observe_failure(&mut self, now: Instant, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
-        entry.failures += 1;
-        if entry.failures < FAILURES {
+        entry.consecutive_failures += 1;
+        if entry.consecutive_failures < FAILURES_BEFORE_PAUSE {
             return false;
         }
-        let doublings = (entry.failures - FAILURES).min(4);
-        let pause = (PAUSE * 2_u32.pow(doublings)).min(PAUSE_MAX);
-        entry.paused.replace(now + pause).is_none()
+        let doublings = (entry.consecutive_failures - FAILURES_BEFORE_PAUSE).min(4);
+        let pause = (FIRST_PAUSE * 2_u32.pow(doublings)).min(PAUSE_MAX);
+        entry.paused_until.replace(now + pause).is_none()
     }
 
     pub(crate) fn view(&self, now: Instant) -> Vec<EndpointView> {
@@ -487,13 +495,14 @@
             others: e.others,
             slots: e.slots,
             leaving: e.is_leaving(),
-            paused: e.unanswered >= UNANSWERED || e.paused.is_some_and(|until| now < until),
+            paused: e.unanswered_polls >= UNANSWERED_POLLS_MAX
+                || e.paused_until.is_some_and(|until| now < until),
         });
         views.collect()
     }
 
     /// Slots taken by this instance over all endpoints.
-    pub(crate) fn taken(&self) -> u32 {
+    pub(crate) fn taken_slots(&self) -> u32 {
         self.endpoints.values().map(|e| e.own).sum()
     }
 }
--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -9,33 +9,33 @@
 
 impl Instance {
     /// Moving average of how long requests of a pool hold their slot.
-    pub(crate) fn learn_hold(&mut self, now: Instant, key: RequestKey) {
+    pub(crate) fn record_hold_time(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
-        let held = now.duration_since(request.held);
-        let average = self.holds.entry(request.pool.clone()).or_insert(held);
+        let held = now.duration_since(request.slot_taken);
+        let average = self.slot_hold_times.entry(request.pool.clone()).or_insert(held);
         *average = (*average * 7 + held) / 8;
     }
 
     /// Moving average of a prefill's time for each prompt token, the wait inside the engine included.
-    pub(crate) fn learn_pace(&mut self, now: Instant, key: RequestKey) {
+    pub(crate) fn record_prefill_time(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
-        let Kind::Generate { prompt, .. } = request.kind else {
+        let Kind::Generate { prompt_tokens, .. } = request.kind else {
             return;
         };
-        let took = now.duration_since(request.held) / prompt.max(1);
-        let pace = self.paces.entry(request.pool.clone()).or_insert(took);
-        *pace = (*pace * 15 + took) / 16;
+        let took = now.duration_since(request.slot_taken) / prompt_tokens.max(1);
+        let token_time = self.prefill_token_times.entry(request.pool.clone()).or_insert(took);
+        *token_time = (*token_time * 15 + took) / 16;
     }
 
     /// Moving average of the time from the end of a prefill to the first token.
-    pub(crate) fn learn_tail(&mut self, now: Instant, key: RequestKey) {
+    pub(crate) fn record_first_token_delay(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         if request.first_token.is_some() {
             return;
         }
-        let took = now.duration_since(request.prefilled);
-        let tail = self.tails.entry(request.pool.clone()).or_insert(took);
-        *tail = (*tail * 15 + took) / 16;
+        let took = now.duration_since(request.prefill_ended);
+        let delay = self.first_token_delays.entry(request.pool.clone()).or_insert(took);
+        *delay = (*delay * 15 + took) / 16;
     }
 
     pub(crate) fn count_refusal(&mut self, kind: ErrorKind) {
@@ -44,28 +44,28 @@
 
     pub(crate) fn count_prefill(&mut self, key: RequestKey, decode: EndpointKey) {
         let request = self.requests.get(key);
-        if let Kind::Generate { prompt, .. } = request.kind {
+        if let Kind::Generate { prompt_tokens, .. } = request.kind {
             let site = &self.endpoints.get(decode).site;
-            self.counters.class(&request.class, site).prefilled_tokens += u64::from(prompt);
+            self.counters.class(&request.class, site).prefilled_tokens += u64::from(prompt_tokens);
         }
     }
 
     /// Counts a prefill of which nothing was used: by the decode endpoint's site where it is known.
-    pub(crate) fn count_waste(&mut self, key: RequestKey, decode: Option<EndpointKey>) {
+    pub(crate) fn count_wasted_prefill(&mut self, key: RequestKey, decode: Option<EndpointKey>) {
         let request = self.requests.get(key);
-        if let Kind::Generate { prompt, .. } = request.kind {
+        if let Kind::Generate { prompt_tokens, .. } = request.kind {
             let site = decode.map_or("", |d| self.endpoints.get(d).site.as_str());
-            self.counters.class(&request.class, site).wasted_tokens += u64::from(prompt);
+            self.counters.class(&request.class, site).wasted_tokens += u64::from(prompt_tokens);
         }
     }
 
     /// A prefill that was under way is counted as done and wasted.
-    pub(crate) fn count_started_waste(&mut self, key: RequestKey, decode: EndpointKey) {
+    pub(crate) fn count_cancelled_prefill(&mut self, key: RequestKey, decode: EndpointKey) {
         self.count_prefill(key, decode);
-        self.count_waste(key, Some(decode));
+        self.count_wasted_prefill(key, Some(decode));
     }
 
-    pub(crate) fn count_answer(&mut self, now: Instant, key: RequestKey, endpoint: EndpointKey) {
+    pub(crate) fn count_response(&mut self, now: Instant, key: RequestKey, endpoint: EndpointKey) {
         let request = self.requests.get(key);
         let good = within_targets(now, request);
         let site = &self.endpoints.get(endpoint).site;
@@ -77,12 +77,13 @@
 
 /// Whether first token and mean gap between tokens met the targets of the class.
 fn within_targets(now: Instant, request: &Request) -> bool {
-    let Kind::Generate { first, gap, .. } = request.kind else {
+    let Kind::Generate { first_token_target, token_gap_target, .. } = request.kind else {
         return true;
     };
     let Some(token) = request.first_token else {
         return false;
     };
     let gaps = request.offset.saturating_sub(1);
-    token.duration_since(request.arrived) <= first && now.duration_since(token) <= gap * gaps.max(1)
+    token.duration_since(request.arrived) <= first_token_target
+        && now.duration_since(token) <= token_gap_target * gaps.max(1)
 }
--- a/crates/core/src/failures.rs
+++ b/crates/core/src/failures.rs
@@ -12,11 +12,11 @@
 use crate::event::{Audit, Effect, StepFailure};
 use crate::ids::{EndpointKey, RequestKey};
 use crate::instance::Instance;
-use crate::lifecycle::{ELSEWHERE, RETRY};
+use crate::lifecycle::{RETRY_COST, RETRY_ELSEWHERE_AFTER};
 use crate::requests::{Kind, Phase};
 
 impl Instance {
-    pub(crate) fn failed(
+    pub(crate) fn step_failed(
         &mut self,
         now: Instant,
         attempt: AttemptId,
@@ -34,7 +34,7 @@
         if matches!(failure, StepFailure::Broken | StepFailure::TimedOut | StepFailure::Stalled)
             && let Some(endpoint) = phase.endpoint()
         {
-            self.lost(now, key, endpoint, out);
+            self.request_lost(now, key, endpoint, out);
         }
         match phase {
             Phase::Claiming | Phase::Waiting => {}
@@ -57,18 +57,18 @@
         failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
-        self.blame(now, prefill, failure, out);
+        self.record_endpoint_failure(now, prefill, failure, out);
         let request = self.requests.get_mut(key);
         let attempt = request.attempt();
         request.tried.push(prefill);
         request.phase = Phase::Waiting;
-        request.touched |= !failure.not_started();
+        request.maybe_reached_endpoint |= !failure.not_started();
         if !failure.not_started() {
             self.cancel(now, attempt, prefill, out);
         }
         self.release_prefill(now, key, prefill, out);
         self.release_decode(now, key, decode, out);
-        self.retry(now, key, failure, out);
+        self.requeue_or_refuse(now, key, failure, out);
     }
 
     pub(crate) fn import_failed(
@@ -83,7 +83,7 @@
         if failure == StepFailure::Evicted {
             self.requests.get_mut(key).tried.push(prefill);
         } else {
-            self.blame(now, decode, failure, out);
+            self.record_endpoint_failure(now, decode, failure, out);
             self.requests.get_mut(key).tried.push(decode);
         }
         if !failure.not_started() {
@@ -93,16 +93,16 @@
         if failure.not_started() && self.import_elsewhere(now, key, prefill, out) {
             return;
         }
-        self.waste(now, key, out);
+        self.discard_cache(now, key, out);
         self.back_to_waiting(key);
-        self.retry(now, key, failure, out);
+        self.requeue_or_refuse(now, key, failure, out);
     }
 
     /// A try of which something ran has ended.
     pub(crate) fn back_to_waiting(&mut self, key: RequestKey) {
         let request = self.requests.get_mut(key);
         request.phase = Phase::Waiting;
-        request.touched = true;
+        request.maybe_reached_endpoint = true;
     }
 
     /// The decode engine did not begin, so the KV cache is still good: try another one at once.
@@ -113,16 +113,16 @@
         prefill: EndpointKey,
         out: &mut Vec<Effect>,
     ) -> bool {
-        if !self.may_retry(now, key) {
+        if !self.may_attempt_again(now, key) {
             return false;
         }
-        let Some(decode) = self.choose(now, key, Role::Decode) else {
+        let Some(decode) = self.choose_endpoint(now, key, Role::Decode) else {
             return false;
         };
-        self.spend_retry();
-        self.endpoints.take(decode);
+        self.charge_retry_budget();
+        self.endpoints.take_slot(decode);
         self.requests.get_mut(key).attempts += 1;
-        self.import(key, prefill, decode, out);
+        self.send_import(key, prefill, decode, out);
         true
     }
 
@@ -145,20 +145,20 @@
             request.resumed = true;
             request.attempts += 1;
             self.counters.resumed += 1;
-            return self.decode(key, decode, Some(attempt), out);
+            return self.send_decode(key, decode, Some(attempt), out);
         }
         request.tried.push(decode);
         let resumed_from = (request.resumed && request.attempts > 1)
             .then(|| AttemptId { request: request.id, number: request.attempts - 1 });
-        self.blame(now, decode, failure, out);
+        self.record_endpoint_failure(now, decode, failure, out);
         self.cancel(now, attempt, decode, out);
         if let Some(earlier) = resumed_from {
             self.cancel(now, earlier, decode, out);
         }
-        self.count_waste(key, Some(decode));
+        self.count_wasted_prefill(key, Some(decode));
         self.release_decode(now, key, decode, out);
         self.back_to_waiting(key);
-        self.retry(now, key, failure, out);
+        self.requeue_or_refuse(now, key, failure, out);
     }
 
     pub(crate) fn call_failed(
@@ -169,23 +169,23 @@
         failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
-        self.blame(now, endpoint, failure, out);
-        self.endpoints.release(endpoint);
+        self.record_endpoint_failure(now, endpoint, failure, out);
+        self.endpoints.release_slot(endpoint);
         let request = self.requests.get_mut(key);
         request.tried.push(endpoint);
         let Kind::Call { repeatable, .. } = request.kind else {
             unreachable!("only calls are in the phase of calling");
         };
         request.phase = Phase::Waiting;
-        request.touched |= !failure.not_started();
+        request.maybe_reached_endpoint |= !failure.not_started();
         if !failure.not_started() && !repeatable {
             return self.refuse(now, key, Refusal::new(ErrorKind::OutcomeUnknown), out);
         }
-        self.retry(now, key, failure, out);
+        self.requeue_or_refuse(now, key, failure, out);
     }
 
     /// Sends the request back to the queue, or gives up on it.
-    pub(crate) fn retry(
+    pub(crate) fn requeue_or_refuse(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -197,33 +197,34 @@
         let ran = request.may_have_run();
         if failure == StepFailure::Rejected {
             self.refuse(now, key, Refusal::new(ErrorKind::Rejected), out);
-        } else if let Some(refusal) = self.quarantined(now, key) {
+        } else if let Some(refusal) = self.quarantine_refusal(now, key) {
             self.refuse(now, key, refusal, out);
-        } else if self.may_retry(now, key) {
-            self.spend_retry();
+        } else if self.may_attempt_again(now, key) {
+            self.charge_retry_budget();
             self.enqueue(now, key, out);
         } else if ran {
-            self.refuse(now, key, Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE), out);
+            self.refuse(now, key, Refusal::retryable(ErrorKind::EndpointFailed, RETRY_ELSEWHERE_AFTER), out);
         } else {
-            self.refuse(now, key, Refusal::retryable(ErrorKind::NoEndpoint, ELSEWHERE), out);
+            self.refuse(now, key, Refusal::retryable(ErrorKind::NoEndpoint, RETRY_ELSEWHERE_AFTER), out);
         }
-        self.pump(now, &pool, out);
+        self.start_queued(now, &pool, out);
     }
 
-    pub(crate) fn may_retry(&self, now: Instant, key: RequestKey) -> bool {
+    pub(crate) fn may_attempt_again(&self, now: Instant, key: RequestKey) -> bool {
         let request = self.requests.get(key);
-        let allowed = request.attempts < self.policy().attempts && now < request.deadline && !request.gone;
-        allowed && self.budget >= RETRY
+        let allowed =
+            request.attempts < self.policy().attempts && now < request.deadline && !request.caller_gone;
+        allowed && self.retry_budget >= RETRY_COST
     }
 
     /// Retries come from a budget that grows with arrivals, so that a fault of many endpoints cannot turn the
     /// callers' load into a multiple of itself and keep the endpoints down after the fault has ended.
-    pub(crate) fn spend_retry(&mut self) {
-        self.budget -= RETRY;
+    pub(crate) fn charge_retry_budget(&mut self) {
+        self.retry_budget -= RETRY_COST;
         self.counters.retried += 1;
     }
 
-    pub(crate) fn blame(
+    pub(crate) fn record_endpoint_failure(
         &mut self,
         now: Instant,
         endpoint: EndpointKey,
@@ -232,12 +233,12 @@
     ) {
         if failure == StepFailure::NotSent {
             let id = self.endpoints.get(endpoint).target().id;
-            self.unreached(now, id, out);
+            self.endpoint_unreachable(now, id, out);
         }
         match failure {
-            StepFailure::Leaving => self.endpoints.leaving(endpoint),
+            StepFailure::Leaving => self.endpoints.observe_leaving(endpoint),
             StepFailure::NotSent | StepFailure::Broken | StepFailure::TimedOut | StepFailure::Stalled => {
-                if self.endpoints.failed(now, endpoint) {
+                if self.endpoints.observe_failure(now, endpoint) {
                     let name = self.endpoints.get(endpoint).name.clone();
                     out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: false }));
                 }
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -9,12 +9,12 @@
 use rand::rngs::SmallRng;
 use teaselshunt_settings::Policy;
 
-use crate::claims::Ended;
+use crate::claims::EndedClaim;
 use crate::counters::Counters;
 use crate::crashes::Loss;
 use crate::endpoints::{EndpointTable, EndpointView, Placement};
 use crate::event::{Audit, ConfigurationCandidate, Effect, EngineLoad, Event, Source};
-use crate::homes::{Claim, Finding, Homes, Replies};
+use crate::homes::{Claim, Homes, InquiryReply, Replies};
 use crate::ids::RequestKey;
 use crate::limits::{Limits, TeamView};
 use crate::members::{Health, MemberView, Members};
@@ -28,17 +28,17 @@
 use crate::{EndpointId, InstanceId, InstanceList, PoolId, RequestId};
 
 /// Time between two load reports of an engine.
-const POLL: Duration = Duration::from_millis(500);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks at every member and endpoint.
-const REVIEW: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two fetches of documents from peers.
-const FETCH: Duration = Duration::from_millis(300);
+const FETCH_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two rounds that ask every member for its list revision.
-const CONFIRM: Duration = Duration::from_millis(300);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(300);
 /// A pause between events that is no mere load: ticks come many times in it.
-const FREEZE: Duration = Duration::from_secs(1);
+const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 /// How long a planned stop waits for unconfirmed cancels and for its last messages to leave.
-const LINGER: Duration = Duration::from_millis(500);
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(500);
 
 /// Who an instance is.
 #[derive(Debug, Clone)]
@@ -101,19 +101,19 @@
     pub(crate) requests: Requests,
     pub(crate) queues: BTreeMap<String, Queue<RequestKey>>,
     /// Moving average of how long a slot is held, by pool.
-    pub(crate) holds: HashMap<String, Duration>,
+    pub(crate) slot_hold_times: HashMap<String, Duration>,
     /// Moving average of a prefill's time for each prompt token, by pool.
-    pub(crate) paces: HashMap<String, Duration>,
+    pub(crate) prefill_token_times: HashMap<String, Duration>,
     /// Moving average of the time from the end of a prefill to the first token, by pool.
-    pub(crate) tails: HashMap<String, Duration>,
+    pub(crate) first_token_delays: HashMap<String, Duration>,
     /// Names of the pools of the configuration in force.
     pub(crate) pools: BTreeMap<PoolId, String>,
     /// Slots of the pools that this instance owns, or owned lately.
     pub(crate) slots: BTreeMap<PoolId, Slots>,
     /// Grants of this owner to its own requests, on their way inside a step.
-    pub(crate) own_grants: Vec<(RequestId, EndpointId, EndpointId)>,
+    pub(crate) own_reservations: Vec<(RequestId, EndpointId, EndpointId)>,
     /// Pools whose owner was silent, and when.
-    pub(crate) alone: HashMap<String, Instant>,
+    pub(crate) unresponsive_owners: HashMap<String, Instant>,
     pub(crate) next_renew: Instant,
     pub(crate) next_reclaim: Instant,
     pub(crate) cancels: Cancels,
@@ -125,28 +125,28 @@
     pub(crate) abandoned: Vec<Loss>,
     /// Requests under which endpoints crash.
     pub(crate) quarantine: Quarantine,
-    pub(crate) next_telling: Instant,
+    pub(crate) next_crash_update: Instant,
     pub(crate) limits: Limits,
     /// When the process started.
     pub(crate) started: Instant,
     /// Keyed requests that ended lately.
-    pub(crate) ended: BTreeMap<RequestId, Ended>,
+    pub(crate) ended_claims: BTreeMap<RequestId, EndedClaim>,
     /// Retries left, in hundredths.
-    pub(crate) budget: u32,
+    pub(crate) retry_budget: u32,
     pub(crate) counters: Counters,
     next_poll: Instant,
-    next_review: Instant,
+    next_maintenance: Instant,
     /// Polls since a configuration came into force, up to the end of the sweeps.
     pub(crate) polls: u32,
     next_fetch: Instant,
     next_confirm: Instant,
     /// When the last request of a planned stop ended.
-    drained: Option<Instant>,
+    drained_at: Option<Instant>,
     stopped: bool,
     /// Time of the last event.
-    stepped: Instant,
+    last_event: Instant,
     /// When the process last woke from a freeze.
-    pub(crate) woke: Option<Instant>,
+    pub(crate) freeze_ended: Option<Instant>,
 }
 
 impl Instance {
@@ -165,13 +165,13 @@
             homes: Homes::new(id, (now, identity.incarnation), horizon),
             requests: Requests::default(),
             queues: BTreeMap::new(),
-            holds: HashMap::new(),
-            paces: HashMap::new(),
-            tails: HashMap::new(),
+            slot_hold_times: HashMap::new(),
+            prefill_token_times: HashMap::new(),
+            first_token_delays: HashMap::new(),
             pools: BTreeMap::new(),
             slots: BTreeMap::new(),
-            own_grants: Vec::new(),
-            alone: HashMap::new(),
+            own_reservations: Vec::new(),
+            unresponsive_owners: HashMap::new(),
             next_renew: now,
             next_reclaim: now,
             cancels: Cancels::default(),
@@ -179,21 +179,21 @@
             losses: Vec::new(),
             abandoned: Vec::new(),
             quarantine: Quarantine::default(),
-            next_telling: now,
+            next_crash_update: now,
             limits: Limits::new(now),
             started: now,
-            ended: BTreeMap::new(),
-            budget: crate::lifecycle::RETRY * 10,
+            ended_claims: BTreeMap::new(),
+            retry_budget: crate::lifecycle::RETRY_COST * 10,
             counters: Counters::default(),
             next_poll: now,
-            next_review: now,
+            next_maintenance: now,
             polls: 0,
             next_fetch: now,
             next_confirm: now,
-            drained: None,
+            drained_at: None,
             stopped: false,
-            stepped: now,
-            woke: None,
+            last_event: now,
+            freeze_ended: None,
             identity,
         }
     }
@@ -209,12 +209,12 @@
     ///
     /// `now` must not go back between calls.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Effect>) {
-        if now.duration_since(self.stepped) > FREEZE {
-            self.woke = Some(now);
+        if now.duration_since(self.last_event) > FREEZE_THRESHOLD {
+            self.freeze_ended = Some(now);
         }
-        self.stepped = now;
+        self.last_event = now;
         // First of all, so that a process that wakes from a freeze acts on nothing that has expired meanwhile.
-        self.expire(now, out);
+        self.expire_requests(now, out);
         match event {
             Event::Arrived { ticket, work } => self.arrived(now, ticket, work, out),
             Event::CallerGone { ticket } => self.caller_gone(now, ticket, out),
@@ -223,25 +223,29 @@
             Event::Advanced { attempt, offset } => self.advanced(now, attempt, offset),
             Event::Finished { attempt, offset, stored } => self.finished(now, attempt, offset, stored, out),
             Event::Called { attempt, stored } => self.called(now, attempt, stored, out),
-            Event::Failed { attempt, failure, offset } => self.failed(now, attempt, failure, offset, out),
+            Event::Failed { attempt, failure, offset } => {
+                self.step_failed(now, attempt, failure, offset, out);
+            }
             Event::Cancelled { attempt, endpoint, confirmed } => {
                 if confirmed {
                     self.cancels.confirmed(attempt, endpoint);
                 }
             }
-            Event::Reported { endpoint, report } => self.reported(now, endpoint, &report, out),
-            Event::Unreported { endpoint } => self.unreported(now, endpoint, out),
-            Event::ConfigurationRead { candidate, source } => self.offered(now, candidate, source, out),
+            Event::Reported { endpoint, report } => self.load_reported(now, endpoint, &report, out),
+            Event::Unreported { endpoint } => self.load_unreported(now, endpoint, out),
+            Event::ConfigurationRead { candidate, source } => {
+                self.configuration_read(now, candidate, source, out);
+            }
             Event::ListRead { list, source, read_started } => {
-                self.listed(now, list, source, read_started, out);
+                self.list_read(now, list, source, read_started, out);
             }
             Event::ListUnchanged { revision, read_started } => {
                 if revision == self.members.revision() {
-                    self.homes.confirmed(read_started);
+                    self.homes.list_confirmed(read_started);
                 }
             }
-            Event::Received { from, message } => self.received(now, from, message, out),
-            Event::Stop => self.stop(now, out),
+            Event::Received { from, message } => self.message_received(now, from, message, out),
+            Event::Stop => self.start_shutdown(now, out),
             Event::Tick => self.tick(now, out),
         }
     }
@@ -293,7 +297,7 @@
         self.versions.current().map_or_else(Policy::default, |c| c.policy.clone())
     }
 
-    fn offered(
+    fn configuration_read(
         &mut self,
         now: Instant,
         candidate: ConfigurationCandidate,
@@ -304,8 +308,8 @@
             ConfigurationCandidate::Valid { configuration, .. } => Some(configuration.version),
             ConfigurationCandidate::Invalid { version, .. } => *version,
         };
-        match self.versions.offer(candidate) {
-            Some(Verdict::Accepted) => self.in_force(now, source, out),
+        match self.versions.consider(candidate) {
+            Some(Verdict::Accepted) => self.configuration_activated(now, source, out),
             Some(Verdict::Refused(cause)) => {
                 out.push(Effect::Audit(Audit::Refused { version: number, source, cause }));
             }
@@ -313,7 +317,7 @@
         }
     }
 
-    fn in_force(&mut self, now: Instant, source: Source, out: &mut Vec<Effect>) {
+    fn configuration_activated(&mut self, now: Instant, source: Source, out: &mut Vec<Effect>) {
         let Some(configuration) = self.versions.current().cloned() else {
             return;
         };
@@ -323,16 +327,16 @@
         self.slots.retain(|id, _| pools.contains_key(id));
         self.set_limits(now);
         let policy = &configuration.policy;
-        self.homes.set_terms(Duration::from_secs(policy.horizon_s), Duration::from_millis(policy.skew_ms));
+        self.homes.set_policy(Duration::from_secs(policy.horizon_s), Duration::from_millis(policy.skew_ms));
         out.push(Effect::Audit(Audit::Accepted { version: configuration.version, source }));
         // Neighbours are told at once, so that a version crosses the fleet in hops of milliseconds and also
         // reaches those that cannot read the platform.
-        self.tell_neighbours(now, out);
-        self.refuse_unserved(now, out);
-        self.pump_all(now, out);
+        self.send_heartbeat_to_neighbours(now, out);
+        self.refuse_unservable(now, out);
+        self.start_all_queued(now, out);
     }
 
-    fn listed(
+    fn list_read(
         &mut self,
         now: Instant,
         list: InstanceList,
@@ -342,69 +346,71 @@
     ) {
         let revision = list.revision;
         if self.members.accept(now, list) {
-            self.homes.relisted(&self.members);
+            self.homes.list_changed(&self.members);
             out.push(Effect::Audit(Audit::List { revision, source }));
-            self.tell_neighbours(now, out);
-            self.reclaim(now, out);
+            self.send_heartbeat_to_neighbours(now, out);
+            self.resend_claims(now, out);
         }
         if source == Source::Platform && revision == self.members.revision() {
-            self.homes.confirmed(read_started);
+            self.homes.list_confirmed(read_started);
         }
     }
 
-    fn received(&mut self, now: Instant, from: InstanceId, message: Message, out: &mut Vec<Effect>) {
+    fn message_received(&mut self, now: Instant, from: InstanceId, message: Message, out: &mut Vec<Effect>) {
         match message {
             Message::Heartbeat(beat) => {
-                self.heard(now, from, &beat, out);
+                self.heartbeat_received(now, from, &beat, out);
                 let reply = self.members.heartbeat(now, self.versions.number());
                 self.deliver(now, from, Message::Echo { stamp: beat.stamp, beat: reply }, out);
             }
             Message::Echo { stamp, beat } => {
-                self.heard(now, from, &beat, out);
-                self.members.echoed(from, stamp);
+                self.heartbeat_received(now, from, &beat, out);
+                self.members.receive_echo(from, stamp);
             }
             Message::Fetch { version, revision, name, address } => {
-                self.fetched(from, (version, revision), &name, address, out);
+                self.fetch_received(from, (version, revision), &name, address, out);
             }
             Message::Configuration { text } => {
-                self.offered(now, ConfigurationCandidate::parse(&text), Source::Peer(from), out);
+                self.configuration_read(now, ConfigurationCandidate::parse(&text), Source::Peer(from), out);
             }
-            Message::List(list) => self.listed(now, list, Source::Peer(from), now, out),
+            Message::List(list) => self.list_read(now, list, Source::Peer(from), now, out),
             Message::Claim { key, request, revision, born } => {
                 let claim = Claim { from, request, revision, born };
                 let replies = self.homes.claim(now, &self.members, key, claim);
                 self.send_replies(now, replies, out);
             }
-            Message::Claimed { key, request, answer } => self.claimed(now, from, key, request, answer, out),
+            Message::Claimed { key, request, answer } => {
+                self.claim_answered(now, from, key, request, answer, out);
+            }
             Message::Settle { key, request, outcome } => self.homes.settle(now, key, request, outcome),
             Message::Inquire { key, revision, born } => {
-                let reply = self.homes.inquire(now, &self.members, key, (revision, born));
+                let reply = self.homes.answer_inquiry(now, &self.members, key, (revision, born));
                 self.deliver(now, from, reply, out);
             }
             Message::Inquired { key, revision, record, own_grants_known, lists_known, homes } => {
-                let finding = Finding { revision, record, own_grants_known, lists_known, homes };
-                let replies = self.homes.inquired(now, &self.members, from, key, finding);
+                let reply = InquiryReply { revision, record, own_grants_known, lists_known, homes };
+                let replies = self.homes.inquiry_answered(now, &self.members, from, key, reply);
                 self.send_replies(now, replies, out);
             }
-            Message::Crashes { crashes, served } => self.told_crashes(now, crashes, served, out),
-            Message::Reserve(reserve) => self.reserve_asked(now, from, &reserve, out),
-            Message::Queued { request } => self.queued(from, request),
+            Message::Crashes { crashes, served } => self.merge_crashes(now, crashes, served, out),
+            Message::Reserve(reserve) => self.reservation_requested(now, from, &reserve, out),
+            Message::Queued { request } => self.reservation_queued(from, request),
             Message::Reserved { pool, request, prefill, decode } => {
-                self.reserved(now, from, (pool, request), (prefill, decode), out);
+                self.reservation_granted(now, from, (pool, request), (prefill, decode), out);
             }
             Message::Declined { request, wait_ms } => {
                 let wait = Duration::from_millis(u64::from(wait_ms));
-                self.declined(now, from, request, wait, out);
+                self.reservation_declined(now, from, request, wait, out);
             }
             Message::Freed { pool, request, prefill, decode } => {
-                self.freed(now, pool, request, (prefill, decode), out);
+                self.slots_freed(now, pool, request, (prefill, decode), out);
             }
             Message::Holding { pool, incarnation, sequences } => {
-                self.held_by(now, from, (pool, incarnation), sequences, out);
+                self.leases_renewed(now, from, (pool, incarnation), sequences, out);
             }
-            Message::Spending(news) => self.told_spending(now, from, news),
+            Message::Spending(report) => self.merge_spending(now, from, report),
             Message::Handover { incarnation, records, last } => {
-                self.homes.take_over(now, (from, incarnation), records, last);
+                self.homes.accept_handover(now, (from, incarnation), records, last);
             }
         }
     }
@@ -418,35 +424,41 @@
     /// Sends a message to a member; one to this instance itself is taken in at once.
     pub(crate) fn deliver(&mut self, now: Instant, to: InstanceId, message: Message, out: &mut Vec<Effect>) {
         if to == self.identity.id() {
-            return self.received(now, to, message, out);
+            return self.message_received(now, to, message, out);
         }
         if let Some(member) = self.members.get(to) {
             out.push(Effect::Send { to, name: Arc::clone(&member.name), address: member.address, message });
         }
     }
 
-    fn heard(&mut self, now: Instant, from: InstanceId, beat: &Heartbeat, out: &mut Vec<Effect>) {
+    fn heartbeat_received(
+        &mut self,
+        now: Instant,
+        from: InstanceId,
+        beat: &Heartbeat,
+        out: &mut Vec<Effect>,
+    ) {
         let mut changes = Vec::new();
         let known = self.members.get(from).is_some_and(|member| member.incarnation == beat.incarnation);
-        changes.extend(self.members.heard(now, from, beat));
-        if !known && let Some(news) = self.crash_news(now, true) {
+        changes.extend(self.members.receive_heartbeat(now, from, beat));
+        if !known && let Some(update) = self.crash_update(now, true) {
             // A start that knows nothing is not to find out by itself.
-            self.deliver(now, from, news, out);
+            self.deliver(now, from, update, out);
         }
         for &rumour in &beat.updates {
-            changes.extend(self.members.rumour(now, rumour));
+            changes.extend(self.members.merge_update(now, rumour));
         }
         audit_health(changes, out);
         let behind = beat.version > self.versions.number() || beat.revision > self.members.revision();
         if behind && now >= self.next_fetch {
-            self.next_fetch = now + FETCH;
+            self.next_fetch = now + FETCH_INTERVAL;
             let message = self.fetch_message();
             self.deliver(now, from, message, out);
         }
     }
 
     /// Sends what is newer here, also to an instance that the list in use does not have yet.
-    fn fetched(
+    fn fetch_received(
         &mut self,
         from: InstanceId,
         (version, revision): (u64, u64),
@@ -478,12 +490,12 @@
         }
     }
 
-    fn tell_neighbours(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn send_heartbeat_to_neighbours(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let neighbours = self.members.neighbours().to_vec();
-        self.beat_to(now, neighbours, out);
+        self.send_heartbeats(now, neighbours, out);
     }
 
-    fn beat_to(&mut self, now: Instant, targets: Vec<InstanceId>, out: &mut Vec<Effect>) {
+    fn send_heartbeats(&mut self, now: Instant, targets: Vec<InstanceId>, out: &mut Vec<Effect>) {
         if targets.is_empty() {
             return;
         }
@@ -493,112 +505,118 @@
         }
     }
 
-    fn reported(&mut self, now: Instant, endpoint: EndpointId, report: &EngineLoad, out: &mut Vec<Effect>) {
+    fn load_reported(
+        &mut self,
+        now: Instant,
+        endpoint: EndpointId,
+        report: &EngineLoad,
+        out: &mut Vec<Effect>,
+    ) {
         let me = self.identity.id();
         let Some(key) = self.endpoints.find(endpoint) else {
             return;
         };
-        self.lives(endpoint);
-        let foreign = self.foreign(key, report);
-        if self.endpoints.report(now, key, me, report, foreign) {
+        self.endpoint_reachable(endpoint);
+        let unaccounted = self.unaccounted_requests(key, report);
+        if self.endpoints.observe_load(now, key, me, report, unaccounted) {
             let name = self.endpoints.get(key).name.clone();
             out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: true }));
         }
         self.cancel_orphans(now, endpoint, report, out);
         let pool = PoolId::of(&self.endpoints.get(key).pool);
-        self.assign(now, pool, out);
-        self.pump_all(now, out);
+        self.grant_slots(now, pool, out);
+        self.start_all_queued(now, out);
     }
 
-    fn unreported(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Effect>) {
+    fn load_unreported(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Effect>) {
         let Some(key) = self.endpoints.find(endpoint) else {
             return;
         };
-        self.unreached(now, endpoint, out);
-        if self.endpoints.unreported(key) {
+        self.endpoint_unreachable(now, endpoint, out);
+        if self.endpoints.observe_unanswered_poll(key) {
             let name = self.endpoints.get(key).name.clone();
             out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: false }));
         }
     }
 
-    fn stop(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn start_shutdown(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if self.members.stopping {
             return;
         }
         self.members.stopping = true;
         out.push(Effect::Audit(Audit::Stopping));
-        self.tell_neighbours(now, out);
+        self.send_heartbeat_to_neighbours(now, out);
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let targets = self.members.beat(now);
-        self.beat_to(now, targets, out);
-        if now >= self.next_review {
+        let targets = self.members.due_heartbeats(now);
+        self.send_heartbeats(now, targets, out);
+        if now >= self.next_maintenance {
             // Once in a while only: these look at every member and endpoint, and there may be hundreds.
-            self.next_review = now + REVIEW;
-            audit_health(self.members.review(now), out);
-            self.members.forget(now, self.homes.memory());
-            self.endpoints.age(now);
+            self.next_maintenance = now + MAINTENANCE_INTERVAL;
+            audit_health(self.members.update_health(now), out);
+            self.members.expire(now, self.homes.retention());
+            self.endpoints.expire_reports(now);
             self.review_limits(now);
         }
         let replies = self.homes.tick(now, &self.members);
         self.send_replies(now, replies, out);
-        self.confirm(now, out);
-        self.poll(now, out);
-        self.review_claims(now, out);
-        self.review_asked(now, out);
+        self.confirm_list(now, out);
+        self.poll_engines(now, out);
+        self.resend_due_claims(now, out);
+        self.review_reservations(now, out);
         self.review_slots(now, out);
         self.renew_leases(now, out);
         self.resend_cancels(now, out);
-        self.forget_ended(now);
-        self.tell_crashes(now, out);
-        self.tell_spending(now, out);
-        self.pump_all(now, out);
-        self.end_stop(now, out);
+        self.expire_ended_claims(now);
+        self.send_crashes(now, out);
+        self.send_spending(now, out);
+        self.start_all_queued(now, out);
+        self.finish_shutdown(now, out);
     }
 
     /// Asks members for their revision while a claim waits for the tenure that their answers give.
-    fn confirm(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if now < self.next_confirm || !self.homes.wants_confirmation(now, &self.members) {
+    fn confirm_list(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        if now < self.next_confirm || !self.homes.needs_list_confirmation(now, &self.members) {
             return;
         }
-        self.next_confirm = now + CONFIRM;
-        let since = now.checked_sub(crate::homes::TENURE / 2).unwrap_or(now);
-        let silent = self.members.silent(since);
-        self.beat_to(now, silent, out);
+        self.next_confirm = now + CONFIRM_INTERVAL;
+        let since = now.checked_sub(crate::homes::GRANT_LEASE / 2).unwrap_or(now);
+        let silent = self.members.unresponsive_since(since);
+        self.send_heartbeats(now, silent, out);
     }
 
-    fn poll(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn poll_engines(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if now < self.next_poll {
             return;
         }
-        self.next_poll = now + POLL;
+        self.next_poll = now + LOAD_POLL_INTERVAL;
         // Asked once for each pool: finding an owner costs a hash for every member.
-        let sweep = self.sweep();
+        let sweep = self.sweep_due();
         let wanted: BTreeSet<&str> = self
             .pools
             .values()
             .map(String::as_str)
-            .filter(|pool| sweep || self.wants_reports(now, pool))
+            .filter(|pool| sweep || self.needs_reports(now, pool))
             .collect();
         let engines = self.endpoints.engines(|pool| wanted.contains(pool));
         out.extend(engines.into_iter().map(|target| Effect::Poll { target }));
     }
 
     /// Ends a planned stop once nothing of a caller is left here.
-    fn end_stop(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    fn finish_shutdown(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if !self.members.stopping || self.stopped || self.requests.len() > 0 {
             return;
         }
-        let Some(drained) = self.drained else {
-            assert_eq!(self.endpoints.taken(), 0, "no request is left, but slots are taken");
-            self.drained = Some(now);
-            for (to, message) in self.homes.handover(&self.members) {
+        let Some(drained_at) = self.drained_at else {
+            assert_eq!(self.endpoints.taken_slots(), 0, "no request is left, but slots are taken");
+            self.drained_at = Some(now);
+            for (to, message) in self.homes.handover_messages(&self.members) {
                 self.deliver(now, to, message, out);
             }
             return;
         };
-        if now.duration_since(drained) >= LINGER {
+        if now.duration_since(drained_at) >= SHUTDOWN_DELAY {
             self.stopped = true;
             out.push(Effect::Stopped);
         }
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -27,25 +27,25 @@
 
 /// When a caller should come back to an instance that is stopping or has no configuration yet: the balancer
 /// gives it another one.
-pub(crate) const ELSEWHERE: Duration = Duration::from_secs(1);
+pub(crate) const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_secs(1);
 /// Longest time to come back that a caller is told; what is further off cannot be foretold.
-const LATEST: Duration = Duration::from_secs(30);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 /// One retry, in the hundredths that the budget is counted in.
-pub(crate) const RETRY: u32 = 100;
+pub(crate) const RETRY_COST: u32 = 100;
 /// Most hundredths of a retry that the budget saves up.
-const BUDGET_MAX: u32 = 50 * RETRY;
+const RETRY_BUDGET_MAX: u32 = 50 * RETRY_COST;
 
 impl Instance {
     pub(crate) fn arrived(&mut self, now: Instant, ticket: Ticket, work: Work, out: &mut Vec<Effect>) {
         self.counters.arrived += 1;
-        let opening = match self.opening(ticket, work) {
-            Ok(opening) => opening,
-            Err(refusal) => return self.turn_away(ticket, refusal, out),
+        let new_request = match self.new_request(ticket, work) {
+            Ok(new_request) => new_request,
+            Err(refusal) => return self.refuse_unopened(ticket, refusal, out),
         };
         let percent = self.policy().retry_percent;
-        self.budget = (self.budget + percent).min(BUDGET_MAX);
-        out.push(Effect::Accept { ticket, request: opening.id });
-        let key = self.requests.open(now, opening);
+        self.retry_budget = (self.retry_budget + percent).min(RETRY_BUDGET_MAX);
+        out.push(Effect::Accept { ticket, request: new_request.id });
+        let key = self.requests.open(now, new_request);
         if let Err(refusal) = self.charge(now, key) {
             return self.refuse(now, key, refusal, out);
         }
@@ -57,49 +57,50 @@
 
     /// Queues a request, or refuses it at once if it would wait longer than its class may.
     pub(crate) fn admit(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
-        if let Some(refusal) = self.quarantined(now, key) {
+        if let Some(refusal) = self.quarantine_refusal(now, key) {
             return self.refuse(now, key, refusal, out);
         }
         let request = self.requests.get(key);
-        if !self.served(now, request) || self.expected_wait(now, request) > request.wait {
-            let refusal = self.no_slot(now, request);
+        if !self.has_endpoints(now, request) || self.expected_wait(now, request) > request.wait {
+            let refusal = self.no_slot_refusal(now, request);
             return self.refuse(now, key, refusal, out);
         }
         let pool = request.pool.clone();
         self.enqueue(now, key, out);
-        self.pump(now, &pool, out);
+        self.start_queued(now, &pool, out);
     }
 
     /// Whether there are open endpoints, full or not, for every step of a request.
-    pub(crate) fn served(&self, now: Instant, request: &Request) -> bool {
+    pub(crate) fn has_endpoints(&self, now: Instant, request: &Request) -> bool {
         let roles: &[Role] = match request.kind {
             Kind::Generate { .. } => &[Role::Prefill, Role::Decode],
             Kind::Call { .. } => &[Role::Service],
         };
-        roles.iter().all(|&r| self.endpoints.serves(now, &request.pool, r))
+        roles.iter().all(|&r| self.endpoints.has_open(now, &request.pool, r))
     }
 
     /// Why a request of which nothing ran gets no slot, and when to come back.
-    pub(crate) fn no_slot(&self, now: Instant, request: &Request) -> Refusal {
-        if !self.served(now, request) {
-            return Refusal::retryable(ErrorKind::NoEndpoint, ELSEWHERE);
+    pub(crate) fn no_slot_refusal(&self, now: Instant, request: &Request) -> Refusal {
+        if !self.has_endpoints(now, request) {
+            return Refusal::retryable(ErrorKind::NoEndpoint, RETRY_ELSEWHERE_AFTER);
         }
-        let wait = self.expected_wait(now, request).clamp(ELSEWHERE, LATEST);
+        let wait = self.expected_wait(now, request).clamp(RETRY_ELSEWHERE_AFTER, RETRY_AFTER_MAX);
         Refusal::retryable(ErrorKind::Overloaded, wait)
     }
 
     /// A configuration came into force: requests that wait for endpoints that it no longer has are given up
     /// now and not at the end of their wait.
-    pub(crate) fn refuse_unserved(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        let waiting = self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting && !self.served(now, r));
+    pub(crate) fn refuse_unservable(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        let waiting =
+            self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting && !self.has_endpoints(now, r));
         let keys: Vec<RequestKey> = waiting.map(|(key, _)| key).collect();
         for key in keys {
             self.withdraw(now, key, out);
             let request = self.requests.get(key);
             let refusal = if request.may_have_run() {
-                Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE)
+                Refusal::retryable(ErrorKind::EndpointFailed, RETRY_ELSEWHERE_AFTER)
             } else {
-                self.no_slot(now, request)
+                self.no_slot_refusal(now, request)
             };
             self.refuse(now, key, refusal, out);
         }
@@ -110,17 +111,17 @@
         request.phase = Phase::Waiting;
         let due = now + request.wait;
         self.requests.set_due(key, due);
-        if self.asks_owner(key) {
-            self.reserve(now, key, out);
+        if self.uses_owner(key) {
+            self.request_reservation(now, key, out);
         } else {
-            self.queue_here(key);
+            self.enqueue_locally(key);
         }
     }
 
     /// Stands a request in the queue of this instance, which chooses for itself.
-    pub(crate) fn queue_here(&mut self, key: RequestKey) {
+    pub(crate) fn enqueue_locally(&mut self, key: RequestKey) {
         let request = self.requests.get_mut(key);
-        request.asked = None;
+        request.reservation = None;
         let queue = self.queues.entry(request.pool.clone()).or_default();
         if request.attempts == 0 {
             queue.push(request.priority, &request.team, key);
@@ -133,28 +134,28 @@
     /// pool have come free lately.
     pub(crate) fn expected_wait(&self, now: Instant, request: &Request) -> Duration {
         let ahead = self.queues.get(&request.pool).map_or(0, |q| q.ahead(request.priority));
-        let slots = self.endpoints.capacity(now, &request.pool, role(&request.kind)).max(1);
-        let held = self.holds.get(&request.pool).copied().unwrap_or_default();
+        let slots = self.endpoints.capacity(now, &request.pool, slot_role(&request.kind)).max(1);
+        let held = self.slot_hold_times.get(&request.pool).copied().unwrap_or_default();
         held * (ahead as u32) / slots
     }
 
     /// Starts requests that wait here while there are slots.
-    pub(crate) fn pump(&mut self, now: Instant, pool: &str, out: &mut Vec<Effect>) {
+    pub(crate) fn start_queued(&mut self, now: Instant, pool: &str, out: &mut Vec<Effect>) {
         while let Some(key) = self.queues.get(pool).and_then(Queue::peek) {
             if !self.start(now, key, out) {
                 return;
             }
             let teams = self.versions.current().map(|c| c.teams.as_slice()).unwrap_or_default();
-            let taken = self.queues.get_mut(pool).and_then(|q| q.pop(|name| weight(teams, name)));
+            let taken = self.queues.get_mut(pool).and_then(|q| q.pop(|name| team_weight(teams, name)));
             assert!(taken == Some(key), "the request that was started is the one that was next");
         }
     }
 
-    pub(crate) fn pump_all(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(crate) fn start_all_queued(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let waiting = self.queues.iter().filter(|(_, q)| q.len() > 0);
         let pools: Vec<String> = waiting.map(|(pool, _)| pool.clone()).collect();
         for pool in pools {
-            self.pump(now, &pool, out);
+            self.start_queued(now, &pool, out);
         }
     }
 
@@ -167,18 +168,18 @@
     }
 
     pub(crate) fn start_prefill(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) -> bool {
-        let Some(decode) = self.choose(now, key, Role::Decode) else {
+        let Some(decode) = self.choose_endpoint(now, key, Role::Decode) else {
             return false;
         };
-        let Some(prefill) = self.choose(now, key, Role::Prefill) else {
+        let Some(prefill) = self.choose_endpoint(now, key, Role::Prefill) else {
             return false;
         };
-        self.prefill(now, key, prefill, decode, out);
+        self.send_prefill(now, key, prefill, decode, out);
         true
     }
 
     /// Starts a prefill with a decode slot kept for its end.
-    pub(crate) fn prefill(
+    pub(crate) fn send_prefill(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -186,12 +187,12 @@
         decode: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        self.endpoints.take(decode);
-        self.endpoints.take(prefill);
+        self.endpoints.take_slot(decode);
+        self.endpoints.take_slot(prefill);
         let timeout = self.step_timeout();
         let target = self.endpoints.get(prefill).target();
-        let request = self.begin(key, Phase::Prefilling { prefill, decode });
-        request.held = now;
+        let request = self.begin_attempt(key, Phase::Prefilling { prefill, decode });
+        request.slot_taken = now;
         request.resumed = false;
         let effect = Effect::Prefill {
             ticket: request.ticket,
@@ -201,7 +202,7 @@
             timeout,
         };
         out.push(effect);
-        self.running(key);
+        self.watch_deadline(key);
     }
 
     pub(crate) fn start_call(
@@ -211,13 +212,13 @@
         timeout: Duration,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let Some(endpoint) = self.choose(now, key, Role::Service) else {
+        let Some(endpoint) = self.choose_endpoint(now, key, Role::Service) else {
             return false;
         };
-        self.endpoints.take(endpoint);
+        self.endpoints.take_slot(endpoint);
         let target = self.endpoints.get(endpoint).target();
-        let request = self.begin(key, Phase::Calling { endpoint });
-        request.held = now;
+        let request = self.begin_attempt(key, Phase::Calling { endpoint });
+        request.slot_taken = now;
         let left = request.deadline.saturating_duration_since(now);
         let effect = Effect::Call {
             ticket: request.ticket,
@@ -226,12 +227,12 @@
             timeout: timeout.min(left),
         };
         out.push(effect);
-        self.running(key);
+        self.watch_deadline(key);
         true
     }
 
     /// Opens the next try.
-    pub(crate) fn begin(&mut self, key: RequestKey, phase: Phase) -> &mut Request {
+    pub(crate) fn begin_attempt(&mut self, key: RequestKey, phase: Phase) -> &mut Request {
         let request = self.requests.get_mut(key);
         request.phase = phase;
         request.attempts += 1;
@@ -239,19 +240,24 @@
     }
 
     /// A request that runs is looked at again only at its deadline; its driver times the steps.
-    pub(crate) fn running(&mut self, key: RequestKey) {
+    pub(crate) fn watch_deadline(&mut self, key: RequestKey) {
         let deadline = self.requests.get(key).deadline;
         self.requests.set_due(key, deadline);
     }
 
-    pub(crate) fn choose(&mut self, now: Instant, key: RequestKey, role: Role) -> Option<EndpointKey> {
-        let percent = match role {
+    pub(crate) fn choose_endpoint(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        role: Role,
+    ) -> Option<EndpointKey> {
+        let max_load_percent = match role {
             Role::Prefill => self.policy().backlog_percent,
             Role::Decode | Role::Service => 100,
         };
         let request = self.requests.get(key);
         let domain = &self.identity.domain;
-        let mut need = Need { pool: &request.pool, role, domain, tried: &request.tried, percent };
+        let mut need = Need { pool: &request.pool, role, domain, tried: &request.tried, max_load_percent };
         let fresh = self.endpoints.choose(now, &need, &mut self.rng);
         if fresh.is_some() || request.tried.is_empty() {
             return fresh;
@@ -268,21 +274,21 @@
         let Phase::Prefilling { prefill, decode } = self.requests.get(key).phase else {
             return;
         };
-        self.succeeded(prefill, out);
-        self.learn_pace(now, key);
+        self.step_succeeded(prefill, out);
+        self.record_prefill_time(now, key);
         self.release_prefill(now, key, prefill, out);
         self.count_prefill(key, decode);
         let request = self.requests.get_mut(key);
         request.cache = Some(Cache { attempt, prefill });
-        request.prefilled = now;
-        self.import_if_open(now, key, (prefill, decode), out);
+        request.prefill_ended = now;
+        self.import_unless_leaving(now, key, (prefill, decode), out);
         let pool = self.requests.get(key).pool.clone();
-        self.pump(now, &pool, out);
+        self.start_queued(now, &pool, out);
     }
 
     /// A decode slot is kept from before the prefill, and the endpoint may have begun to leave since. What was
     /// not yet sent there is new work to it, and goes elsewhere.
-    pub(crate) fn import_if_open(
+    pub(crate) fn import_unless_leaving(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -290,19 +296,19 @@
         out: &mut Vec<Effect>,
     ) {
         if !self.endpoints.is_leaving(decode) {
-            return self.import(key, prefill, decode, out);
+            return self.send_import(key, prefill, decode, out);
         }
         self.release_decode(now, key, decode, out);
-        let Some(other) = self.choose(now, key, Role::Decode) else {
-            self.waste(now, key, out);
+        let Some(other) = self.choose_endpoint(now, key, Role::Decode) else {
+            self.discard_cache(now, key, out);
             self.back_to_waiting(key);
-            return self.retry(now, key, StepFailure::Leaving, out);
+            return self.requeue_or_refuse(now, key, StepFailure::Leaving, out);
         };
-        self.endpoints.take(other);
-        self.import(key, prefill, other, out);
+        self.endpoints.take_slot(other);
+        self.send_import(key, prefill, other, out);
     }
 
-    pub(crate) fn import(
+    pub(crate) fn send_import(
         &mut self,
         key: RequestKey,
         prefill: EndpointKey,
@@ -326,12 +332,12 @@
         let Phase::Importing { decode, .. } = self.requests.get(key).phase else {
             return;
         };
-        self.succeeded(decode, out);
+        self.step_succeeded(decode, out);
         self.requests.get_mut(key).cache = None;
-        self.decode(key, decode, None, out);
+        self.send_decode(key, decode, None, out);
     }
 
-    pub(crate) fn decode(
+    pub(crate) fn send_decode(
         &mut self,
         key: RequestKey,
         decode: EndpointKey,
@@ -358,7 +364,7 @@
             return;
         };
         assert!(offset >= self.requests.get(key).offset, "output of {attempt} moved back");
-        self.learn_tail(now, key);
+        self.record_first_token_delay(now, key);
         let request = self.requests.get_mut(key);
         request.offset = offset;
         request.first_token.get_or_insert(now);
@@ -381,7 +387,7 @@
         let Phase::Decoding { decode } = self.requests.get(key).phase else {
             return;
         };
-        self.answered(now, key, decode, stored, out);
+        self.complete(now, key, decode, stored, out);
     }
 
     pub(crate) fn called(
@@ -397,11 +403,11 @@
         let Phase::Calling { endpoint } = self.requests.get(key).phase else {
             return;
         };
-        self.answered(now, key, endpoint, stored, out);
+        self.complete(now, key, endpoint, stored, out);
     }
 
     /// The whole answer is with the caller.
-    pub(crate) fn answered(
+    pub(crate) fn complete(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -409,14 +415,14 @@
         stored: Option<StoredResponse>,
         out: &mut Vec<Effect>,
     ) {
-        self.succeeded(endpoint, out);
-        self.count_answer(now, key, endpoint);
-        self.learn_hold(now, key);
+        self.step_succeeded(endpoint, out);
+        self.count_response(now, key, endpoint);
+        self.record_hold_time(now, key);
         self.release_decode(now, key, endpoint, out);
-        let request = self.close(now, key);
+        let request = self.close_request(now, key);
         self.quarantine.observe_success(now, request.fingerprint);
-        self.settle(now, &request, ClaimOutcome::Ran(stored), out);
-        self.pump(now, &request.pool, out);
+        self.settle_claim(now, &request, ClaimOutcome::Ran(stored), out);
+        self.start_queued(now, &request.pool, out);
     }
 
     pub(crate) fn caller_gone(&mut self, now: Instant, ticket: Ticket, out: &mut Vec<Effect>) {
@@ -424,20 +430,20 @@
             return;
         };
         self.counters.abandoned += 1;
-        self.left(now, key);
+        self.caller_left(now, key);
         let request = self.requests.get_mut(key);
         if request.key.is_some() && matches!(request.phase, Phase::Calling { .. }) {
             // The call is out and cannot be taken back. Its answer is awaited for the caller's retry, which
             // will ask for it by the same key.
-            request.gone = true;
+            request.caller_gone = true;
             return;
         }
         let outcome = if request.may_have_run() { ClaimOutcome::Unknown } else { ClaimOutcome::NotRun };
         self.withdraw(now, key, out);
-        let request = self.close(now, key);
-        self.forgo(now, &request);
-        self.settle(now, &request, outcome, out);
-        self.pump(now, &request.pool, out);
+        let request = self.close_request(now, key);
+        self.remember_unclaimed(now, &request);
+        self.settle_claim(now, &request, outcome, out);
+        self.start_queued(now, &request.pool, out);
     }
 
     /// Frees whatever a request holds here and at endpoints, wherever it stands.
@@ -446,7 +452,7 @@
         let attempt = request.attempt();
         match request.phase {
             Phase::Claiming => {}
-            Phase::Waiting if request.asked.is_some() => self.unask(now, key, out),
+            Phase::Waiting if request.reservation.is_some() => self.withdraw_reservation(now, key, out),
             Phase::Waiting => {
                 let (priority, team) = (request.priority, request.team.clone());
                 if let Some(queue) = self.queues.get_mut(&request.pool) {
@@ -455,24 +461,24 @@
             }
             Phase::Prefilling { prefill, decode } => {
                 self.cancel(now, attempt, prefill, out);
-                self.count_started_waste(key, decode);
+                self.count_cancelled_prefill(key, decode);
                 self.release_prefill(now, key, prefill, out);
                 self.release_decode(now, key, decode, out);
             }
             Phase::Importing { decode, .. } => {
                 self.cancel(now, attempt, decode, out);
                 self.release_decode(now, key, decode, out);
-                self.waste(now, key, out);
+                self.discard_cache(now, key, out);
             }
             Phase::Decoding { decode } => {
                 self.cancel(now, attempt, decode, out);
-                if request_resumed(self.requests.get(key)) {
+                if is_resumed(self.requests.get(key)) {
                     let number = attempt.number - 1;
                     self.cancel(now, AttemptId { number, ..attempt }, decode, out);
                 }
                 self.release_decode(now, key, decode, out);
             }
-            Phase::Calling { endpoint } => self.endpoints.release(endpoint),
+            Phase::Calling { endpoint } => self.endpoints.release_slot(endpoint),
         }
     }
 
@@ -483,8 +489,8 @@
         prefill: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        self.endpoints.release(prefill);
-        self.free_lease(now, key, (true, false), out);
+        self.endpoints.release_slot(prefill);
+        self.release_lease(now, key, (true, false), out);
     }
 
     pub(crate) fn release_decode(
@@ -494,17 +500,17 @@
         decode: EndpointKey,
         out: &mut Vec<Effect>,
     ) {
-        self.endpoints.release(decode);
-        self.free_lease(now, key, (false, true), out);
+        self.endpoints.release_slot(decode);
+        self.release_lease(now, key, (false, true), out);
     }
 
     /// The KV cache of a finished prefill is of no use any more.
-    pub(crate) fn waste(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
+    pub(crate) fn discard_cache(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let Some(cache) = self.requests.get_mut(key).cache.take() else {
             return;
         };
         self.cancel(now, cache.attempt, cache.prefill, out);
-        self.count_waste(key, None);
+        self.count_wasted_prefill(key, None);
     }
 
     pub(crate) fn cancel(
@@ -522,39 +528,39 @@
 
     /// Gives a request its final answer without a result.
     pub(crate) fn refuse(&mut self, now: Instant, key: RequestKey, refusal: Refusal, out: &mut Vec<Effect>) {
-        let request = self.close(now, key);
+        let request = self.close_request(now, key);
         let not_run = refusal.kind.answer().outcome == Outcome::NotRun;
         assert!(!(not_run && request.may_have_run()), "{} is called not run, but may have run", request.id);
         self.count_refusal(refusal.kind);
         let outcome = if request.may_have_run() { ClaimOutcome::Unknown } else { ClaimOutcome::NotRun };
-        self.forgo(now, &request);
-        self.settle(now, &request, outcome, out);
-        if !request.gone {
+        self.remember_unclaimed(now, &request);
+        self.settle_claim(now, &request, outcome, out);
+        if !request.caller_gone {
             out.push(Effect::Refuse { ticket: request.ticket, refusal });
         }
     }
 
     /// Requests whose wait or deadline has ended.
-    pub(crate) fn expire(&mut self, now: Instant, out: &mut Vec<Effect>) {
+    pub(crate) fn expire_requests(&mut self, now: Instant, out: &mut Vec<Effect>) {
         while let Some(key) = self.requests.overdue(now) {
             let request = self.requests.get(key);
             let late = now >= request.deadline;
             let (ran, phase) = (request.may_have_run(), request.phase);
             let refusal = match phase {
-                Phase::Claiming => Refusal::retryable(ErrorKind::KeyUnknown, ELSEWHERE),
+                Phase::Claiming => Refusal::retryable(ErrorKind::KeyUnknown, RETRY_ELSEWHERE_AFTER),
                 _ if late && ran => Refusal::new(ErrorKind::DeadlinePassed),
                 _ if late => Refusal::new(ErrorKind::Expired),
-                _ if ran => Refusal::retryable(ErrorKind::EndpointFailed, ELSEWHERE),
-                _ => self.no_slot(now, request),
+                _ if ran => Refusal::retryable(ErrorKind::EndpointFailed, RETRY_ELSEWHERE_AFTER),
+                _ => self.no_slot_refusal(now, request),
             };
             self.withdraw(now, key, out);
             self.refuse(now, key, refusal, out);
         }
     }
 
-    pub(crate) fn succeeded(&mut self, endpoint: EndpointKey, out: &mut Vec<Effect>) {
-        self.lives(self.endpoints.get(endpoint).target().id);
-        if self.endpoints.succeeded(endpoint) {
+    pub(crate) fn step_succeeded(&mut self, endpoint: EndpointKey, out: &mut Vec<Effect>) {
+        self.endpoint_reachable(self.endpoints.get(endpoint).target().id);
+        if self.endpoints.observe_success(endpoint) {
             let name = self.endpoints.get(endpoint).name.clone();
             out.push(Effect::Audit(Audit::Endpoint { endpoint: name, reachable: true }));
         }
@@ -565,7 +571,7 @@
     }
 }
 
-fn role(kind: &Kind) -> Role {
+fn slot_role(kind: &Kind) -> Role {
     match kind {
         Kind::Generate { .. } => Role::Decode,
         Kind::Call { .. } => Role::Service,
@@ -573,10 +579,10 @@
 }
 
 /// A team's weight; callers that the configuration does not name are one team of weight 1.
-pub(crate) fn weight(teams: &[Team], name: &str) -> u32 {
+pub(crate) fn team_weight(teams: &[Team], name: &str) -> u32 {
     teams.iter().find(|t| t.name == name).map_or(1, |t| t.weight)
 }
 
-fn request_resumed(request: &Request) -> bool {
+fn is_resumed(request: &Request) -> bool {
     request.resumed && request.attempts > 1
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -23,7 +23,7 @@
 use crate::requests::{Kind, Request};
 
 /// Time between two tellings of what teams near their limits were admitted.
-const TELL: Duration = Duration::from_millis(100);
+const SPENDING_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a request's team was charged.
 #[derive(Debug, Clone, Copy)]
@@ -63,13 +63,13 @@
     }
     let teams = configuration.teams.iter().map(|team| {
         let keys = team.keys.iter().filter_map(|key| KeyDigest::from_hex(key)).collect();
-        (known(team), keys)
+        (quota_team(team), keys)
     });
     let public = configuration.services.iter().filter(|service| service.public);
     Some(TeamDirectory { teams: Teams::new(teams), public: public.map(|s| s.name.clone()).collect() })
 }
 
-fn known(team: &teaselshunt_settings::Team) -> Team {
+fn quota_team(team: &teaselshunt_settings::Team) -> Team {
     let unit = match team.limit {
         Some(limit) if limit.unit == TeamUnit::Tokens => Unit::Tokens { plain: u64::from(limit.plain) },
         Some(_) | None => Unit::Requests,
@@ -84,7 +84,7 @@
     quotas: Quotas<InstanceId>,
     /// Teams that have one, by name.
     teams: HashMap<String, Team>,
-    next_telling: Instant,
+    next_spending_report: Instant,
     sequence: u64,
 }
 
@@ -92,7 +92,7 @@
     /// No accounts yet. Nobody tells an instance whether the whole system starts for the first time.
     pub(crate) fn new(now: Instant) -> Self {
         let quotas = Quotas::new(Duration::ZERO, QuotaMode::Shared, StartKind::Subsequent, (0, 0));
-        Self { quotas, teams: HashMap::new(), next_telling: now, sequence: 0 }
+        Self { quotas, teams: HashMap::new(), next_spending_report: now, sequence: 0 }
     }
 }
 
@@ -110,7 +110,7 @@
     /// A version came into force.
     pub(crate) fn set_limits(&mut self, now: Instant) {
         let teams: Vec<Team> =
-            self.versions.current().map_or_else(Vec::new, |c| c.teams.iter().map(known).collect());
+            self.versions.current().map_or_else(Vec::new, |c| c.teams.iter().map(quota_team).collect());
         let at = self.account_time(now);
         self.limits.quotas.set_limits(at, teams.iter().filter_map(|team| Some((team.tag(), team.limit?))));
         self.limits.teams =
@@ -122,7 +122,9 @@
         let request = self.requests.get(key);
         let Some(team) = self.limits.teams.get(&request.team) else { return Ok(()) };
         let tokens = match request.kind {
-            Kind::Generate { prompt, limit, .. } => Some(u64::from(prompt) + u64::from(limit)),
+            Kind::Generate { prompt_tokens, max_tokens, .. } => {
+                Some(u64::from(prompt_tokens) + u64::from(max_tokens))
+            }
             Kind::Call { .. } => None,
         };
         let charge = Charge { team: team.tag(), cost: team.cost(tokens) };
@@ -141,7 +143,7 @@
     }
 
     /// A request ended. What it was charged is given back if it surely has not run.
-    pub(crate) fn close(&mut self, now: Instant, key: RequestKey) -> Request {
+    pub(crate) fn close_request(&mut self, now: Instant, key: RequestKey) -> Request {
         let request = self.requests.close(key);
         if let Some(charge) = request.charge.filter(|_| !request.may_have_run()) {
             self.limits.quotas.refund(self.account_time(now), charge.team, charge.cost);
@@ -162,18 +164,18 @@
     }
 
     /// Tells the others what teams near their limits were admitted.
-    pub(crate) fn tell_spending(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if now < self.limits.next_telling {
+    pub(crate) fn send_spending(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        if now < self.limits.next_spending_report {
             return;
         }
-        self.limits.next_telling = now + TELL;
+        self.limits.next_spending_report = now + SPENDING_REPORT_INTERVAL;
         let at = self.account_time(now);
         let spent = self.limits.quotas.team_spending(at);
         if spent.is_empty() {
             return;
         }
         self.limits.sequence += 1;
-        let news = SpendingReport {
+        let report = SpendingReport {
             incarnation: self.identity.incarnation,
             sequence: self.limits.sequence,
             stopping: self.members.stopping,
@@ -181,13 +183,13 @@
         };
         let others: Vec<InstanceId> = self.members.iter().map(|(id, _)| id).collect();
         for to in others {
-            self.deliver(now, to, Message::Spending(news.clone()), out);
+            self.deliver(now, to, Message::Spending(report.clone()), out);
         }
     }
 
     /// A member tells what it admitted.
-    pub(crate) fn told_spending(&mut self, now: Instant, from: InstanceId, news: SpendingReport) {
-        let SpendingReport { incarnation, sequence, stopping, spent } = news;
+    pub(crate) fn merge_spending(&mut self, now: Instant, from: InstanceId, report: SpendingReport) {
+        let SpendingReport { incarnation, sequence, stopping, spent } = report;
         let hearing =
             UpdateHeader { incarnation, sequence, domain: 0, draining: stopping, known_instances: 1 };
         let at = self.account_time(now);
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -6,8 +6,8 @@
 //! news crosses a domain in `log2 n` hops. To every other domain it beats to the members of its own rank, so
 //! that every member of every domain is watched from every other domain, also when two are cut apart.
 //!
-//! A member that misses [`MISSES`] beats is suspected, and the suspicion spreads as a rumour. The suspect
-//! refutes it by a higher epoch; if it does not within [`SUSPICION`], it is held for dead. Health only ever
+//! A member that misses [`MISSED_HEARTBEATS_MAX`] beats is suspected, and the suspicion spreads as a rumour. The suspect
+//! refutes it by a higher epoch; if it does not within [`SUSPICION_TIMEOUT`], it is held for dead. Health only ever
 //! guides choices (whom to ask, whose leftovers to clear); nothing that must hold at all times rests on it.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -23,13 +23,13 @@
 use crate::{IdempotencyKey, InstanceId, PoolId};
 
 /// Time between two heartbeats to the same neighbour.
-pub(crate) const BEAT: Duration = Duration::from_secs(1);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Heartbeats without an echo before a neighbour is suspected.
-const MISSES: u32 = 3;
+const MISSED_HEARTBEATS_MAX: u32 = 3;
 /// How long a suspect has to refute.
-const SUSPICION: Duration = Duration::from_secs(5);
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Rumours in one heartbeat.
-const RUMOURS: usize = 8;
+const UPDATES_PER_HEARTBEAT: usize = 8;
 
 /// What is held of an instance's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -84,18 +84,18 @@
     pub(crate) version: u64,
     pub(crate) revision: u64,
     /// When it was last heard directly.
-    pub(crate) heard: Option<Instant>,
-    /// When the heartbeat was sent whose echo told `revision`. Unlike `heard` it does not move when a process
+    pub(crate) last_received: Option<Instant>,
+    /// When the heartbeat was sent whose echo told `revision`. Unlike `last_received` it does not move when a process
     /// wakes from a freeze and finds old echoes in its socket buffers.
-    echoed: Option<Instant>,
+    last_echoed: Option<Instant>,
     unanswered: u32,
 }
 
 /// What is kept of an instance that the list has no more.
 #[derive(Debug, Clone, Copy)]
-struct Dropped {
+struct RemovedMember {
     /// Last sign of life: a heartbeat or the list itself.
-    at: Instant,
+    last_seen: Instant,
     /// Its last known start. An instance that is listed again under this name and has started since is news to
     /// everybody, because engines may hold work of its former life that only this tells from live work.
     incarnation: u64,
@@ -103,9 +103,9 @@
 
 /// A list that was in use before, for those who ask who had a key then.
 #[derive(Debug)]
-pub(crate) struct Former {
+pub(crate) struct PreviousList {
     pub(crate) homes: Vec<InstanceId>,
-    pub(crate) replaced: Instant,
+    pub(crate) replaced_at: Instant,
 }
 
 /// All members, as one instance sees them.
@@ -118,20 +118,20 @@
     epoch: u32,
     pub(crate) list: Option<InstanceList>,
     /// The earliest use of that list, by any member, that is known here.
-    listed: Option<Instant>,
+    list_used_since: Option<Instant>,
     /// The earliest known use of a list since which all lists have been in use here, if that is not the one in use.
-    witnessed: Option<Instant>,
-    pub(crate) former: VecDeque<Former>,
+    lists_known_since: Option<Instant>,
+    pub(crate) previous_lists: VecDeque<PreviousList>,
     others: BTreeMap<InstanceId, Member>,
     /// Instances that the list had once.
-    dropped: BTreeMap<InstanceId, Dropped>,
+    removed: BTreeMap<InstanceId, RemovedMember>,
     neighbours: Vec<InstanceId>,
     updates: BTreeMap<InstanceId, (HealthUpdate, u32)>,
     started: Instant,
-    next_beat: Instant,
+    next_heartbeat: Instant,
     pub(crate) stopping: bool,
-    joined: bool,
-    named_here: bool,
+    was_unlisted: bool,
+    listed_at_own_address: bool,
 }
 
 impl Members {
@@ -143,18 +143,18 @@
             incarnation: identity.incarnation,
             epoch: 0,
             list: None,
-            listed: None,
-            witnessed: None,
-            former: VecDeque::new(),
+            list_used_since: None,
+            lists_known_since: None,
+            previous_lists: VecDeque::new(),
             others: BTreeMap::new(),
-            dropped: BTreeMap::new(),
+            removed: BTreeMap::new(),
             neighbours: Vec::new(),
             updates: BTreeMap::new(),
             started,
-            next_beat: started,
+            next_heartbeat: started,
             stopping: false,
-            joined: false,
-            named_here: false,
+            was_unlisted: false,
+            listed_at_own_address: false,
         }
     }
 
@@ -170,10 +170,11 @@
         }
         // A list that has this instance at another address may mean another process, whose grants are not known here.
         let missed = list.revision != self.revision() + 1;
-        self.witnessed = if missed || self.named_elsewhere() { None } else { self.witnessed() };
-        self.listed = Some(now);
+        self.lists_known_since =
+            if missed || self.listed_at_other_address() { None } else { self.lists_known_since() };
+        self.list_used_since = Some(now);
         if self.list.is_some() {
-            self.former.push_back(Former { homes: self.homes(), replaced: now });
+            self.previous_lists.push_back(PreviousList { homes: self.homes(), replaced_at: now });
         }
         let mut members = BTreeMap::new();
         for entry in &list.instances {
@@ -185,62 +186,64 @@
             member.domain.clone_from(&entry.domain);
             member.address = entry.peers;
             member.leaving = entry.leaving;
-            if let Some(dropped) = self.dropped.remove(&id) {
-                member.incarnation = member.incarnation.max(dropped.incarnation);
+            if let Some(removed) = self.removed.remove(&id) {
+                member.incarnation = member.incarnation.max(removed.incarnation);
             }
             members.insert(id, member);
         }
-        self.joined |= members.len() == list.instances.len();
+        self.was_unlisted |= members.len() == list.instances.len();
         let gone = std::mem::replace(&mut self.others, members);
-        let dropped = gone.into_iter().map(|(id, m)| (id, Dropped { at: now, incarnation: m.incarnation }));
-        self.dropped.extend(dropped);
+        let removed = gone
+            .into_iter()
+            .map(|(id, m)| (id, RemovedMember { last_seen: now, incarnation: m.incarnation }));
+        self.removed.extend(removed);
         self.list = Some(list);
-        self.named_here |= self.listed_self().is_some_and(|entry| entry.peers == self.address);
-        self.neighbours = self.overlay();
+        self.listed_at_own_address |= self.own_entry().is_some_and(|entry| entry.peers == self.address);
+        self.neighbours = self.overlay_neighbours();
         true
     }
 
     /// Whether this start has used a list that left it out. Until then the list may name a former start.
-    pub(crate) fn joined(&self) -> bool {
-        self.joined
+    pub(crate) fn was_unlisted(&self) -> bool {
+        self.was_unlisted
     }
 
     /// This instance by the list in use.
-    fn listed_self(&self) -> Option<&InstanceEntry> {
+    fn own_entry(&self) -> Option<&InstanceEntry> {
         self.list.as_ref()?.instances.iter().find(|entry| InstanceId::of(&entry.name) == self.me)
     }
 
-    fn named_elsewhere(&self) -> bool {
-        self.listed_self().is_some_and(|entry| entry.peers != self.address)
+    fn listed_at_other_address(&self) -> bool {
+        self.own_entry().is_some_and(|entry| entry.peers != self.address)
     }
 
     /// Whether a list has named this instance at its own address, on which no other process can listen meanwhile.
-    pub(crate) fn named_here(&self) -> bool {
-        self.named_here
+    pub(crate) fn listed_at_own_address(&self) -> bool {
+        self.listed_at_own_address
     }
 
     /// A time from which on every list that was in use anywhere was also in use here, or None before the first.
-    pub(crate) fn witnessed(&self) -> Option<Instant> {
-        self.witnessed.into_iter().chain(self.listed).min()
+    pub(crate) fn lists_known_since(&self) -> Option<Instant> {
+        self.lists_known_since.into_iter().chain(self.list_used_since).min()
     }
 
     /// The latest start of an instance that is known here, in milliseconds since the Unix epoch, or 0.
-    pub(crate) fn last_start(&self, id: InstanceId) -> u64 {
+    pub(crate) fn latest_incarnation(&self, id: InstanceId) -> u64 {
         let listed = self.others.get(&id).map(|m| m.incarnation);
-        let dropped = self.dropped.get(&id).map(|d| d.incarnation);
-        listed.max(dropped).unwrap_or(0)
+        let removed = self.removed.get(&id).map(|d| d.incarnation);
+        listed.max(removed).unwrap_or(0)
     }
 
     /// How long an instance that the list once had has given no sign of life.
-    pub(crate) fn dropped_for(&self, now: Instant, id: InstanceId) -> Option<Duration> {
-        self.dropped.get(&id).map(|d| now.duration_since(d.at))
+    pub(crate) fn removed_for(&self, now: Instant, id: InstanceId) -> Option<Duration> {
+        self.removed.get(&id).map(|d| now.duration_since(d.last_seen))
     }
 
     /// Drops former lists that no key can reach back to, and instances that left longer ago than that.
-    pub(crate) fn forget(&mut self, now: Instant, horizon: Duration) {
-        self.dropped.retain(|_, d| now.duration_since(d.at) <= horizon);
-        while self.former.front().is_some_and(|f| now.duration_since(f.replaced) > horizon) {
-            self.former.pop_front();
+    pub(crate) fn expire(&mut self, now: Instant, horizon: Duration) {
+        self.removed.retain(|_, d| now.duration_since(d.last_seen) <= horizon);
+        while self.previous_lists.front().is_some_and(|f| now.duration_since(f.replaced_at) > horizon) {
+            self.previous_lists.pop_front();
         }
     }
 
@@ -267,14 +270,14 @@
 
     /// Home of a key by the list in use.
     pub(crate) fn home(&self, key: IdempotencyKey) -> Option<InstanceId> {
-        highest(key, &self.homes())
+        highest_ranked(key, &self.homes())
     }
 
     /// Home of a key by the list in use if this instance were not in it.
     pub(crate) fn runner_up(&self, key: IdempotencyKey) -> Option<InstanceId> {
         let mut homes = self.homes();
         homes.retain(|&i| i != self.me);
-        highest(key, &homes)
+        highest_ranked(key, &homes)
     }
 
     /// Who is asked of a key's homes by lists that were never in use here: a member of another failure domain, where there is
@@ -282,14 +285,17 @@
     pub(crate) fn witness(&self, key: IdempotencyKey) -> Option<InstanceId> {
         let mut homes = self.homes();
         homes.retain(|&i| self.domain_of(i) != self.domain);
-        highest(key, &homes).or_else(|| self.runner_up(key))
+        highest_ranked(key, &homes).or_else(|| self.runner_up(key))
     }
 
     /// Instances that to this one's knowledge may have been home of a key before the list in use,
     /// with the time at which each lost its place for good.
-    pub(crate) fn former_homes(&self, key: IdempotencyKey) -> BTreeMap<InstanceId, Instant> {
+    pub(crate) fn previous_homes(&self, key: IdempotencyKey) -> BTreeMap<InstanceId, Instant> {
         // Lists are in order of time, so the last place of a home is the one that stays.
-        self.former.iter().filter_map(|f| highest(key, &f.homes).map(|home| (home, f.replaced))).collect()
+        self.previous_lists
+            .iter()
+            .filter_map(|f| highest_ranked(key, &f.homes).map(|home| (home, f.replaced_at)))
+            .collect()
     }
 
     /// Owner of a pool's slots: of the members that live and stay, by this instance's view.
@@ -302,21 +308,25 @@
     }
 
     /// Whether at least half of the others were heard at the list in use or a later one.
-    pub(crate) fn established(&self) -> bool {
+    pub(crate) fn half_confirmed_list(&self) -> bool {
         let revision = self.revision();
-        let heard = self.others.values().filter(|m| m.heard.is_some() && m.revision >= revision).count();
-        revision > 0 && heard * 2 >= self.others.len()
+        let current =
+            self.others.values().filter(|m| m.last_received.is_some() && m.revision >= revision).count();
+        revision > 0 && current * 2 >= self.others.len()
     }
 
     /// Whether every other member was heard at exactly the list in use since `since`.
-    pub(crate) fn unanimous(&self, since: Instant) -> bool {
+    pub(crate) fn all_confirmed_list(&self, since: Instant) -> bool {
         let revision = self.revision();
         revision > 0
-            && self.others.values().all(|m| m.revision == revision && m.echoed.is_some_and(|e| e >= since))
+            && self
+                .others
+                .values()
+                .all(|m| m.revision == revision && m.last_echoed.is_some_and(|e| e >= since))
     }
 
     /// Neighbours on the overlay; see the head of the module.
-    fn overlay(&self) -> Vec<InstanceId> {
+    fn overlay_neighbours(&self) -> Vec<InstanceId> {
         let Some(list) = &self.list else {
             return Vec::new();
         };
@@ -346,12 +356,12 @@
     }
 
     /// Neighbours to beat to now; counts beats that went unanswered.
-    pub(crate) fn beat(&mut self, now: Instant) -> Vec<InstanceId> {
-        if now < self.next_beat {
+    pub(crate) fn due_heartbeats(&mut self, now: Instant) -> Vec<InstanceId> {
+        if now < self.next_heartbeat {
             return Vec::new();
         }
         // After a freeze the lost beats are not made up for: a burst would look like load, not like life.
-        self.next_beat = (self.next_beat + BEAT).max(now + BEAT / 2);
+        self.next_heartbeat = (self.next_heartbeat + HEARTBEAT_INTERVAL).max(now + HEARTBEAT_INTERVAL / 2);
         let mut targets = Vec::with_capacity(self.neighbours.len());
         for id in &self.neighbours {
             let Some(member) = self.others.get_mut(id) else {
@@ -364,15 +374,15 @@
     }
 
     /// Moves suspects on; returns members whose health changed.
-    pub(crate) fn review(&mut self, now: Instant) -> Vec<(InstanceId, Health)> {
+    pub(crate) fn update_health(&mut self, now: Instant) -> Vec<(InstanceId, Health)> {
         let mut changed = Vec::new();
         for (&id, member) in &mut self.others {
             match member.health {
-                Health::Alive | Health::Unknown if member.unanswered > MISSES => {
+                Health::Alive | Health::Unknown if member.unanswered > MISSED_HEARTBEATS_MAX => {
                     member.health = Health::Suspect(now);
-                    self.updates.insert(id, (member.rumour(id, true), 0));
+                    self.updates.insert(id, (member.health_update(id, true), 0));
                 }
-                Health::Suspect(since) if now.duration_since(since) > SUSPICION => {
+                Health::Suspect(since) if now.duration_since(since) > SUSPICION_TIMEOUT => {
                     member.health = Health::Dead(now);
                 }
                 Health::Unknown | Health::Alive | Health::Suspect(_) | Health::Dead(_) => continue,
@@ -387,15 +397,15 @@
         let limit = 3 * (self.others.len() + 2).ilog2();
         let mut fresh: Vec<InstanceId> = self.updates.keys().copied().collect();
         fresh.sort_by_key(|id| self.updates[id].1);
-        fresh.truncate(RUMOURS);
+        fresh.truncate(UPDATES_PER_HEARTBEAT);
         let mut updates = Vec::with_capacity(fresh.len());
         for id in fresh {
-            let Some((rumour, told)) = self.updates.get_mut(&id) else {
+            let Some((update, sent_count)) = self.updates.get_mut(&id) else {
                 continue;
             };
-            updates.push(*rumour);
-            *told += 1;
-            if *told > limit {
+            updates.push(*update);
+            *sent_count += 1;
+            if *sent_count > limit {
                 self.updates.remove(&id);
             }
         }
@@ -405,24 +415,24 @@
             epoch: self.epoch,
             version,
             revision: self.revision(),
-            listed_ms: self.listed.map_or(0, |at| now.duration_since(at).as_millis() as u64),
+            listed_ms: self.list_used_since.map_or(0, |at| now.duration_since(at).as_millis() as u64),
             stopping: self.stopping,
             updates,
         }
     }
 
     /// Takes in what a member says of itself; returns a change of its health.
-    pub(crate) fn heard(
+    pub(crate) fn receive_heartbeat(
         &mut self,
         now: Instant,
         from: InstanceId,
         beat: &Heartbeat,
     ) -> Option<(InstanceId, Health)> {
-        if let Some(dropped) = self.dropped.get_mut(&from) {
-            dropped.at = now;
+        if let Some(removed) = self.removed.get_mut(&from) {
+            removed.last_seen = now;
         }
         if self.others.contains_key(&from) {
-            self.note_use(now, beat);
+            self.update_list_age(now, beat);
         }
         let member = self.others.get_mut(&from)?;
         if (beat.incarnation, beat.epoch) < (member.incarnation, member.epoch) {
@@ -432,32 +442,33 @@
         // The first word of a member is no news: everybody has it from the list. At the start of a large fleet
         // such rumours would take a minute's bandwidth.
         let known = member.incarnation != 0;
-        let news = known && (beat.incarnation > member.incarnation || beat.epoch > member.epoch);
+        let changed = known && (beat.incarnation > member.incarnation || beat.epoch > member.epoch);
         member.incarnation = beat.incarnation;
         member.epoch = beat.epoch;
         member.version = beat.version;
         member.revision = beat.revision;
-        member.heard = Some(now);
+        member.last_received = Some(now);
         member.unanswered = 0;
         member.leaving |= beat.stopping;
         let before = std::mem::replace(&mut member.health, Health::Alive);
-        if news {
-            self.updates.insert(from, (member.rumour(from, false), 0));
+        if changed {
+            self.updates.insert(from, (member.health_update(from, false), 0));
         }
         (before != Health::Alive).then_some((from, Health::Alive))
     }
 
     /// A member tells for how long it knows its list to be in use. The way here only makes that look shorter.
-    fn note_use(&mut self, now: Instant, beat: &Heartbeat) {
+    fn update_list_age(&mut self, now: Instant, beat: &Heartbeat) {
         if beat.revision != self.revision() {
             return;
         }
         let used = now.checked_sub(Duration::from_millis(beat.listed_ms));
-        self.listed = self.listed.zip(used).map(|(known, told)| known.min(told)).or(self.listed);
+        self.list_used_since =
+            self.list_used_since.zip(used).map(|(known, told)| known.min(told)).or(self.list_used_since);
     }
 
     /// A request or a try names the start of its owner: of the same instance, an earlier start has ended.
-    pub(crate) fn note_start(&mut self, id: InstanceId, incarnation: u64) {
+    pub(crate) fn observe_incarnation(&mut self, id: InstanceId, incarnation: u64) {
         if let Some(member) = self.others.get_mut(&id)
             && incarnation > member.incarnation
         {
@@ -467,10 +478,10 @@
     }
 
     /// Takes in the echo of a heartbeat that bore `stamp`.
-    pub(crate) fn echoed(&mut self, from: InstanceId, stamp: u64) {
+    pub(crate) fn receive_echo(&mut self, from: InstanceId, stamp: u64) {
         let sent = self.started + Duration::from_millis(stamp);
         if let Some(member) = self.others.get_mut(&from) {
-            member.echoed = member.echoed.max(Some(sent));
+            member.last_echoed = member.last_echoed.max(Some(sent));
         }
     }
 
@@ -479,45 +490,49 @@
     }
 
     /// Members that have not echoed since `since`.
-    pub(crate) fn silent(&self, since: Instant) -> Vec<InstanceId> {
-        let silent = self.others.iter().filter(|(_, m)| m.echoed.is_none_or(|e| e < since));
-        silent.map(|(&id, _)| id).collect()
+    pub(crate) fn unresponsive_since(&self, since: Instant) -> Vec<InstanceId> {
+        let unresponsive = self.others.iter().filter(|(_, m)| m.last_echoed.is_none_or(|e| e < since));
+        unresponsive.map(|(&id, _)| id).collect()
     }
 
     /// Takes in a rumour; returns a change of health.
-    pub(crate) fn rumour(&mut self, now: Instant, rumour: HealthUpdate) -> Option<(InstanceId, Health)> {
-        if rumour.instance == self.me {
-            self.refute(rumour);
+    pub(crate) fn merge_update(
+        &mut self,
+        now: Instant,
+        update: HealthUpdate,
+    ) -> Option<(InstanceId, Health)> {
+        if update.instance == self.me {
+            self.refute(update);
             return None;
         }
-        let member = self.others.get_mut(&rumour.instance)?;
-        let (theirs, ours) = ((rumour.incarnation, rumour.epoch), (member.incarnation, member.epoch));
-        if theirs < ours || (theirs == ours && !rumour.suspect) {
+        let member = self.others.get_mut(&update.instance)?;
+        let (theirs, ours) = ((update.incarnation, update.epoch), (member.incarnation, member.epoch));
+        if theirs < ours || (theirs == ours && !update.suspect) {
             return None;
         }
-        let health = if rumour.suspect { Health::Suspect(now) } else { Health::Alive };
-        if rumour.suspect && matches!(member.health, Health::Suspect(_) | Health::Dead(_)) {
+        let health = if update.suspect { Health::Suspect(now) } else { Health::Alive };
+        if update.suspect && matches!(member.health, Health::Suspect(_) | Health::Dead(_)) {
             return None;
         }
         // Whoever hears the member itself knows better than a rumour.
-        let direct = member.heard.is_some_and(|h| now.duration_since(h) < 2 * BEAT);
-        if rumour.suspect && direct {
+        let direct = member.last_received.is_some_and(|h| now.duration_since(h) < 2 * HEARTBEAT_INTERVAL);
+        if update.suspect && direct {
             return None;
         }
-        member.incarnation = rumour.incarnation;
-        member.epoch = rumour.epoch;
+        member.incarnation = update.incarnation;
+        member.epoch = update.epoch;
         let before = std::mem::replace(&mut member.health, health);
-        if !rumour.suspect {
+        if !update.suspect {
             member.unanswered = 0;
         }
-        self.updates.insert(rumour.instance, (rumour, 0));
-        (before != health).then_some((rumour.instance, health))
+        self.updates.insert(update.instance, (update, 0));
+        (before != health).then_some((update.instance, health))
     }
 
     /// Answers a suspicion of this instance with a higher epoch, which overrides it everywhere.
-    fn refute(&mut self, rumour: HealthUpdate) {
-        if rumour.suspect && rumour.incarnation == self.incarnation && rumour.epoch >= self.epoch {
-            self.epoch = rumour.epoch + 1;
+    fn refute(&mut self, update: HealthUpdate) {
+        if update.suspect && update.incarnation == self.incarnation && update.epoch >= self.epoch {
+            self.epoch = update.epoch + 1;
         }
     }
 
@@ -545,19 +560,19 @@
             epoch: 0,
             version: 0,
             revision: 0,
-            heard: None,
-            echoed: None,
+            last_received: None,
+            last_echoed: None,
             unanswered: 0,
         }
     }
 
-    fn rumour(&self, id: InstanceId, suspect: bool) -> HealthUpdate {
+    fn health_update(&self, id: InstanceId, suspect: bool) -> HealthUpdate {
         HealthUpdate { instance: id, incarnation: self.incarnation, epoch: self.epoch, suspect }
     }
 }
 
 /// Rendezvous hashing: the candidate with the highest hash of itself and the key.
-fn highest(key: IdempotencyKey, candidates: &[InstanceId]) -> Option<InstanceId> {
+fn highest_ranked(key: IdempotencyKey, candidates: &[InstanceId]) -> Option<InstanceId> {
     let bytes = key.0.to_le_bytes();
     candidates.iter().copied().max_by_key(|i| (xxh3_64_with_seed(&bytes, i.0), *i))
 }
--- a/crates/core/src/new_request.rs
+++ b/crates/core/src/new_request.rs
@@ -5,7 +5,7 @@
 use crate::error::{ErrorKind, Refusal};
 use crate::event::{Call, Effect, Generate, Work};
 use crate::instance::Instance;
-use crate::lifecycle::ELSEWHERE;
+use crate::lifecycle::RETRY_ELSEWHERE_AFTER;
 use crate::requests::{Kind, NewRequest};
 use crate::{RequestId, Ticket};
 
@@ -16,34 +16,34 @@
 
 impl Instance {
     /// Refuses a request that was never taken in.
-    pub(crate) fn turn_away(&mut self, ticket: Ticket, refusal: Refusal, out: &mut Vec<Effect>) {
+    pub(crate) fn refuse_unopened(&mut self, ticket: Ticket, refusal: Refusal, out: &mut Vec<Effect>) {
         self.count_refusal(refusal.kind);
         out.push(Effect::Refuse { ticket, refusal });
     }
 
-    pub(crate) fn opening(&self, ticket: Ticket, work: Work) -> Result<NewRequest, Refusal> {
+    pub(crate) fn new_request(&self, ticket: Ticket, work: Work) -> Result<NewRequest, Refusal> {
         if self.members.stopping {
-            return Err(Refusal::retryable(ErrorKind::Stopping, ELSEWHERE));
+            return Err(Refusal::retryable(ErrorKind::Stopping, RETRY_ELSEWHERE_AFTER));
         }
         if self.versions.current().is_none() {
-            return Err(Refusal::retryable(ErrorKind::NotReady, ELSEWHERE));
+            return Err(Refusal::retryable(ErrorKind::NotReady, RETRY_ELSEWHERE_AFTER));
         }
         match work {
-            Work::Generate(generate) => self.open_generate(ticket, generate),
-            Work::Call(call) => self.open_call(ticket, &call),
+            Work::Generate(generate) => self.new_generation(ticket, generate),
+            Work::Call(call) => self.new_call(ticket, &call),
         }
     }
 
-    pub(crate) fn open_generate(&self, ticket: Ticket, work: Generate) -> Result<NewRequest, Refusal> {
+    pub(crate) fn new_generation(&self, ticket: Ticket, work: Generate) -> Result<NewRequest, Refusal> {
         let unknown = Refusal::new(ErrorKind::UnknownModel);
         let configuration = self.versions.current().ok_or(unknown)?;
         let model = configuration.models.iter().find(|m| m.name == work.model).ok_or(unknown)?;
         let class = configuration.classes.iter().find(|c| c.name == model.class).ok_or(unknown)?;
         let kind = Kind::Generate {
-            prompt: work.prompt_tokens,
-            limit: work.max_tokens,
-            first: Duration::from_millis(class.first_ms),
-            gap: Duration::from_millis(class.gap_ms),
+            prompt_tokens: work.prompt_tokens,
+            max_tokens: work.max_tokens,
+            first_token_target: Duration::from_millis(class.first_ms),
+            token_gap_target: Duration::from_millis(class.gap_ms),
             retry: work.retry,
         };
         Ok(NewRequest {
@@ -52,7 +52,7 @@
             kind,
             pool: model.pool.clone(),
             class: class.name.clone(),
-            team: self.team(work.team),
+            team: self.known_team(work.team),
             priority: class.priority,
             wait: Duration::from_millis(class.wait_ms),
             key: work.key,
@@ -61,7 +61,7 @@
         })
     }
 
-    pub(crate) fn open_call(&self, ticket: Ticket, work: &Call) -> Result<NewRequest, Refusal> {
+    pub(crate) fn new_call(&self, ticket: Ticket, work: &Call) -> Result<NewRequest, Refusal> {
         let unknown = Refusal::new(ErrorKind::UnknownService);
         let configuration = self.versions.current().ok_or(unknown)?;
         let service = configuration.services.iter().find(|s| s.name == work.service).ok_or(unknown)?;
@@ -75,7 +75,7 @@
             kind,
             pool: service.pool.clone(),
             class: service.name.clone(),
-            team: self.team(work.team.clone()),
+            team: self.known_team(work.team.clone()),
             priority: SERVICE_PRIORITY,
             wait: SERVICE_WAIT,
             key: work.key,
@@ -90,7 +90,7 @@
     }
 
     /// Callers that the configuration does not name share one team, so that made-up names win nothing.
-    pub(crate) fn team(&self, name: String) -> String {
+    pub(crate) fn known_team(&self, name: String) -> String {
         let known = self.versions.current().is_some_and(|c| c.teams.iter().any(|t| t.name == name));
         if known { name } else { String::new() }
     }
--- a/crates/core/src/orphans.rs
+++ b/crates/core/src/orphans.rs
@@ -19,18 +19,18 @@
 use crate::{AttemptId, EndpointId, InstanceId};
 
 /// Time between two sendings of an unconfirmed cancel.
-const AGAIN: Duration = Duration::from_millis(500);
+const CANCEL_INTERVAL: Duration = Duration::from_millis(500);
 /// Sendings after which an unconfirmed cancel is left to the engine's next report.
-const SENDINGS: u32 = 120;
+const CANCEL_SENDS_MAX: u32 = 120;
 /// How long a dead member is left in peace, for its refutation to arrive.
-const GRACE: Duration = Duration::from_secs(5);
+const REFUTATION_GRACE: Duration = Duration::from_secs(5);
 
 /// Looks at every engine after the start, and polls from one to the next.
-const SWEEPS: u32 = 5;
-const SWEEP_EVERY: u32 = 4;
+const SWEEP_COUNT: u32 = 5;
+const POLLS_PER_SWEEP: u32 = 4;
 
 #[derive(Debug)]
-struct Pending {
+struct PendingCancel {
     next: Instant,
     sent: u32,
 }
@@ -38,7 +38,7 @@
 /// Cancels that engines have not confirmed.
 #[derive(Debug, Default)]
 pub(crate) struct Cancels {
-    pending: BTreeMap<(AttemptId, EndpointId), Pending>,
+    pending: BTreeMap<(AttemptId, EndpointId), PendingCancel>,
 }
 
 impl Cancels {
@@ -47,7 +47,7 @@
         if self.pending.contains_key(&(attempt, endpoint)) {
             return false;
         }
-        self.pending.insert((attempt, endpoint), Pending { next: now + AGAIN, sent: 1 });
+        self.pending.insert((attempt, endpoint), PendingCancel { next: now + CANCEL_INTERVAL, sent: 1 });
         true
     }
 
@@ -57,11 +57,11 @@
 
     /// Cancels to send again.
     pub(crate) fn due(&mut self, now: Instant) -> Vec<(AttemptId, EndpointId)> {
-        self.pending.retain(|_, p| p.sent < SENDINGS);
+        self.pending.retain(|_, p| p.sent < CANCEL_SENDS_MAX);
         let mut due = Vec::new();
         for (&which, pending) in &mut self.pending {
             if pending.next <= now {
-                pending.next = now + AGAIN;
+                pending.next = now + CANCEL_INTERVAL;
                 pending.sent += 1;
                 due.push(which);
             }
@@ -76,7 +76,7 @@
 
 /// Whether the process that owned a try has ended, to the knowledge of this one. `fresh` says whether the
 /// list was read from the platform lately.
-pub(crate) fn ended(
+pub(crate) fn owner_ended(
     now: Instant,
     members: &Members,
     owner: InstanceId,
@@ -85,7 +85,7 @@
 ) -> bool {
     let Some(member) = members.get(owner) else {
         // An owner that was never listed may be too new for a list that lags; it is left alone.
-        return fresh && members.dropped_for(now, owner).is_some_and(|d| d > GRACE);
+        return fresh && members.removed_for(now, owner).is_some_and(|d| d > REFUTATION_GRACE);
     };
     if member.incarnation > incarnation {
         return true;
@@ -93,7 +93,7 @@
     let Health::Dead(since) = member.health else {
         return false;
     };
-    fresh && member.leaving && now.duration_since(since) > GRACE
+    fresh && member.leaving && now.duration_since(since) > REFUTATION_GRACE
 }
 
 impl Instance {
@@ -109,9 +109,10 @@
             return;
         };
         let target = self.endpoints.get(key).target();
-        let fresh = self.homes.fresh(now);
+        let fresh = self.homes.list_is_fresh(now);
         for running in &report.running {
-            self.members.note_start(running.attempt.request.instance, running.attempt.request.incarnation);
+            self.members
+                .observe_incarnation(running.attempt.request.instance, running.attempt.request.incarnation);
         }
         for running in &report.running {
             let attempt = running.attempt;
@@ -120,7 +121,7 @@
                 owner.incarnation < self.identity.incarnation
                     || (owner.incarnation == self.identity.incarnation && !self.requests.needs(attempt))
             } else {
-                ended(now, &self.members, owner.instance, owner.incarnation, fresh)
+                owner_ended(now, &self.members, owner.instance, owner.incarnation, fresh)
             };
             if !orphan || !self.cancels.begin(now, attempt, endpoint) {
                 continue;
@@ -136,12 +137,12 @@
     ///
     /// Engines may hold work of the former life of this instance. Whoever could have told it from live work may
     /// be gone as well; this process itself always can.
-    pub(crate) fn sweep(&mut self) -> bool {
-        if self.pools.is_empty() || self.polls >= SWEEPS * SWEEP_EVERY {
+    pub(crate) fn sweep_due(&mut self) -> bool {
+        if self.pools.is_empty() || self.polls >= SWEEP_COUNT * POLLS_PER_SWEEP {
             return false;
         }
         self.polls += 1;
-        (self.polls - 1).is_multiple_of(SWEEP_EVERY)
+        (self.polls - 1).is_multiple_of(POLLS_PER_SWEEP)
     }
 
     pub(crate) fn resend_cancels(&mut self, now: Instant, out: &mut Vec<Effect>) {
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -19,12 +19,12 @@
 
 #[derive(Debug)]
 struct Level<K> {
-    teams: HashMap<String, Line<K>>,
+    teams: HashMap<String, TeamQueue<K>>,
     pass: u64,
 }
 
 #[derive(Debug)]
-struct Line<K> {
+struct TeamQueue<K> {
     pass: u64,
     waiting: VecDeque<K>,
 }
@@ -53,23 +53,23 @@
     }
 
     pub(crate) fn push(&mut self, priority: u8, team: &str, key: K) {
-        let line = self.levels.entry(priority).or_default().line(team);
-        line.waiting.push_back(key);
+        let queue = self.levels.entry(priority).or_default().team_queue(team);
+        queue.waiting.push_back(key);
         self.length += 1;
     }
 
     /// Puts a request at the head of its team's line.
     pub(crate) fn push_front(&mut self, priority: u8, team: &str, key: K) {
-        let line = self.levels.entry(priority).or_default().line(team);
-        line.waiting.push_front(key);
+        let queue = self.levels.entry(priority).or_default().team_queue(team);
+        queue.waiting.push_front(key);
         self.length += 1;
     }
 
     /// The next request, left where it is.
     pub(crate) fn peek(&self) -> Option<K> {
         let level = self.levels.values().find(|l| !l.teams.is_empty())?;
-        let (_, line) = level.next()?;
-        line.waiting.front().copied()
+        let (_, queue) = level.next_team()?;
+        queue.waiting.front().copied()
     }
 
     /// Takes the next request; `weight` gives a team's weight.
@@ -85,14 +85,14 @@
         let Some(level) = self.levels.get_mut(&priority) else {
             return false;
         };
-        let Some(line) = level.teams.get_mut(team) else {
+        let Some(queue) = level.teams.get_mut(team) else {
             return false;
         };
-        let Some(place) = line.waiting.iter().position(|&k| k == key) else {
+        let Some(place) = queue.waiting.iter().position(|&k| k == key) else {
             return false;
         };
-        line.waiting.remove(place);
-        if line.waiting.is_empty() {
+        queue.waiting.remove(place);
+        if queue.waiting.is_empty() {
             level.teams.remove(team);
         }
         self.length -= 1;
@@ -101,22 +101,22 @@
 }
 
 impl<K: Copy + PartialEq> Level<K> {
-    fn line(&mut self, team: &str) -> &mut Line<K> {
+    fn team_queue(&mut self, team: &str) -> &mut TeamQueue<K> {
         let pass = self.pass;
-        self.teams.entry(team.to_owned()).or_insert_with(|| Line { pass, waiting: VecDeque::new() })
+        self.teams.entry(team.to_owned()).or_insert_with(|| TeamQueue { pass, waiting: VecDeque::new() })
     }
 
-    fn next(&self) -> Option<(&String, &Line<K>)> {
-        self.teams.iter().min_by_key(|(name, line)| (line.pass, name.as_str()))
+    fn next_team(&self) -> Option<(&String, &TeamQueue<K>)> {
+        self.teams.iter().min_by_key(|(name, queue)| (queue.pass, name.as_str()))
     }
 
     fn pop(&mut self, weight: impl Fn(&str) -> u32) -> K {
-        let name = self.next().map(|(name, _)| name.clone()).expect("a level that is popped has a team");
-        let line = self.teams.get_mut(&name).expect("the team was found above");
-        let key = line.waiting.pop_front().expect("a line without requests is removed");
-        self.pass = line.pass;
-        line.pass += STRIDE / u64::from(weight(&name).max(1));
-        if line.waiting.is_empty() {
+        let name = self.next_team().map(|(name, _)| name.clone()).expect("a level that is popped has a team");
+        let queue = self.teams.get_mut(&name).expect("the team was found above");
+        let key = queue.waiting.pop_front().expect("an empty team queue is removed");
+        self.pass = queue.pass;
+        queue.pass += STRIDE / u64::from(weight(&name).max(1));
+        if queue.waiting.is_empty() {
             self.teams.remove(&name);
         }
         key
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -43,8 +43,17 @@
 /// What the request needs, from the configuration in force when it arrived.
 #[derive(Debug, Clone)]
 pub(crate) enum Kind {
-    Generate { prompt: u32, limit: u32, first: Duration, gap: Duration, retry: bool },
-    Call { repeatable: bool, timeout: Duration },
+    Generate {
+        prompt_tokens: u32,
+        max_tokens: u32,
+        first_token_target: Duration,
+        token_gap_target: Duration,
+        retry: bool,
+    },
+    Call {
+        repeatable: bool,
+        timeout: Duration,
+    },
 }
 
 /// KV cache that a prefill engine holds for a request.
@@ -76,41 +85,41 @@
     /// Number of the last try.
     pub(crate) attempts: u32,
     /// Whether something of an earlier try may have reached an endpoint.
-    pub(crate) touched: bool,
+    pub(crate) maybe_reached_endpoint: bool,
     /// Tokens passed to the caller.
     pub(crate) offset: u32,
     pub(crate) first_token: Option<Instant>,
     /// When the decode slot was taken, to learn how long slots are held.
-    pub(crate) held: Instant,
+    pub(crate) slot_taken: Instant,
     /// When the last prefill ended.
-    pub(crate) prefilled: Instant,
+    pub(crate) prefill_ended: Instant,
     pub(crate) cache: Option<Cache>,
     /// Whether the stream in progress was taken up again once already.
     pub(crate) resumed: bool,
     pub(crate) tried: Vec<EndpointKey>,
     /// Whether the caller has gone and only the outcome for the idempotency key is awaited.
-    pub(crate) gone: bool,
+    pub(crate) caller_gone: bool,
     /// The question to the pool's owner; without one a waiting request stands in the queue here.
-    pub(crate) asked: Option<Asked>,
+    pub(crate) reservation: Option<PendingReservation>,
     /// The owner that gave the slots.
-    pub(crate) lease: Option<InstanceId>,
+    pub(crate) lease_owner: Option<InstanceId>,
     due: Instant,
 }
 
 /// A question to the owner of a pool's slots.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asked {
+pub(crate) struct PendingReservation {
     pub(crate) owner: InstanceId,
-    pub(crate) at: Instant,
+    pub(crate) requested: Instant,
     /// Whether the owner has answered it.
-    pub(crate) heard: bool,
+    pub(crate) acknowledged: bool,
 }
 
 impl Request {
     /// Whether something of it may have reached an endpoint, by an earlier try or the one in progress.
     pub(crate) fn may_have_run(&self) -> bool {
         match self.phase {
-            Phase::Claiming | Phase::Waiting => self.touched,
+            Phase::Claiming | Phase::Waiting => self.maybe_reached_endpoint,
             Phase::Prefilling { .. }
             | Phase::Importing { .. }
             | Phase::Decoding { .. }
@@ -148,36 +157,36 @@
 }
 
 impl Requests {
-    pub(crate) fn open(&mut self, now: Instant, opening: NewRequest) -> RequestKey {
-        let deadline = now + opening.deadline;
-        let ticket = opening.ticket;
+    pub(crate) fn open(&mut self, now: Instant, new_request: NewRequest) -> RequestKey {
+        let deadline = now + new_request.deadline;
+        let ticket = new_request.ticket;
         let key = self.arena.insert(Request {
             ticket,
-            id: opening.id,
-            kind: opening.kind,
-            pool: opening.pool,
-            class: opening.class,
-            team: opening.team,
-            priority: opening.priority,
-            wait: opening.wait,
-            key: opening.key,
+            id: new_request.id,
+            kind: new_request.kind,
+            pool: new_request.pool,
+            class: new_request.class,
+            team: new_request.team,
+            priority: new_request.priority,
+            wait: new_request.wait,
+            key: new_request.key,
             charge: None,
-            fingerprint: opening.fingerprint,
+            fingerprint: new_request.fingerprint,
             arrived: now,
             deadline,
             phase: Phase::Claiming,
             attempts: 0,
-            touched: false,
+            maybe_reached_endpoint: false,
             offset: 0,
             first_token: None,
-            held: now,
-            prefilled: now,
+            slot_taken: now,
+            prefill_ended: now,
             cache: None,
             resumed: false,
             tried: Vec::new(),
-            gone: false,
-            asked: None,
-            lease: None,
+            caller_gone: false,
+            reservation: None,
+            lease_owner: None,
             due: deadline,
         });
         self.due.insert((deadline, key));
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -11,7 +11,7 @@
 //! release or a dead holder frees its slots within seconds.
 //!
 //! Order of service: requests that can still meet the target for the first token, by priority and then fair
-//! between teams; behind them those that cannot, in the same order, with one turn in [`LATE_TURN`]. Serving
+//! between teams; behind them those that cannot, in the same order, with one turn in [`LATE_GRANT_INTERVAL`]. Serving
 //! the oldest first under overload means serving only requests that are already too late.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -23,32 +23,32 @@
 use crate::{EndpointId, InstanceId, RequestId};
 
 /// Late requests get one grant in this many while others are in time.
-const LATE_TURN: u32 = 12;
+const LATE_GRANT_INTERVAL: u32 = 12;
 /// A lease that is not renewed for this long is void.
-const LEASE: Duration = Duration::from_secs(5);
+const LEASE_TIMEOUT: Duration = Duration::from_secs(5);
 /// A lease younger than this may be missing in a renewal that was sent before it was granted.
-const YOUNG: Duration = Duration::from_secs(2);
+const RENEWAL_GRACE: Duration = Duration::from_secs(2);
 /// A released request may stand in reports for this long.
-const ECHO: Duration = Duration::from_secs(2);
+const RELEASED_RETENTION: Duration = Duration::from_secs(2);
 
 slotmap::new_key_type! {
     /// A request that waits at the owner.
-    pub(crate) struct AskKey;
+    pub(crate) struct SlotRequestKey;
 }
 
 /// A request that asks for a slot pair.
 #[derive(Debug, Clone)]
-pub(crate) struct Ask {
+pub(crate) struct SlotRequest {
     pub(crate) request: RequestId,
-    pub(crate) from: InstanceId,
+    pub(crate) requester: InstanceId,
     pub(crate) priority: u8,
     pub(crate) team: String,
     /// Prompt tokens.
-    pub(crate) prompt: u32,
+    pub(crate) prompt_tokens: u32,
     /// A start after this cannot meet the target.
     pub(crate) start_by: Instant,
     /// When the asker gives up.
-    pub(crate) until: Instant,
+    pub(crate) gives_up: Instant,
     pub(crate) tried: Vec<EndpointKey>,
     late: bool,
 }
@@ -56,17 +56,17 @@
 /// Slots that a request holds.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Lease {
-    pub(crate) from: InstanceId,
+    pub(crate) requester: InstanceId,
     pub(crate) prefill: Option<EndpointKey>,
     pub(crate) decode: Option<EndpointKey>,
-    pub(crate) prompt: u32,
+    pub(crate) prompt_tokens: u32,
     granted: Instant,
     renewed: Instant,
 }
 
 /// Use of one endpoint by leases.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Use {
+pub(crate) struct Usage {
     pub(crate) requests: u32,
     /// Prompt tokens to be prefilled.
     pub(crate) tokens: u32,
@@ -75,20 +75,20 @@
 /// Slots of one pool, at its owner.
 #[derive(Debug, Default)]
 pub(crate) struct Slots {
-    asks: slotmap::SlotMap<AskKey, Ask>,
-    by_request: HashMap<RequestId, AskKey>,
-    timely: Queue<AskKey>,
-    late: Queue<AskKey>,
+    requests: slotmap::SlotMap<SlotRequestKey, SlotRequest>,
+    by_request: HashMap<RequestId, SlotRequestKey>,
+    on_time: Queue<SlotRequestKey>,
+    late: Queue<SlotRequestKey>,
     /// Grants so far, to give late requests their turn.
-    turn: u32,
+    grants: u32,
     leases: BTreeMap<RequestId, Lease>,
-    used: HashMap<EndpointKey, Use>,
+    used: HashMap<EndpointKey, Usage>,
     released: BTreeMap<RequestId, Instant>,
     /// Moving average of how long a lease is held.
-    hold: Duration,
+    average_hold: Duration,
 }
 
-impl Ask {
+impl SlotRequest {
     pub(crate) fn new(
         now: Instant,
         from: InstanceId,
@@ -97,12 +97,12 @@
     ) -> Self {
         Self {
             request: reserve.request,
-            from,
+            requester: from,
             priority: reserve.priority,
             team: reserve.team.clone(),
-            prompt: reserve.prompt,
+            prompt_tokens: reserve.prompt,
             start_by: now + Duration::from_millis(u64::from(reserve.first_ms)),
-            until: now + Duration::from_millis(u64::from(reserve.wait_ms)),
+            gives_up: now + Duration::from_millis(u64::from(reserve.wait_ms)),
             tried: reserve.tried.iter().filter_map(|&id| find(id)).collect(),
             late: false,
         }
@@ -116,12 +116,12 @@
     }
 
     /// Whether anything waits or is held here.
-    pub(crate) fn busy(&self) -> bool {
-        !self.asks.is_empty() || !self.leases.is_empty()
+    pub(crate) fn in_use(&self) -> bool {
+        !self.requests.is_empty() || !self.leases.is_empty()
     }
 
     pub(crate) fn waiting(&self) -> usize {
-        self.asks.len()
+        self.requests.len()
     }
 
     /// The whole slot pair of a request, if it has one.
@@ -132,51 +132,52 @@
 
     /// How long a request that asks now would wait behind all others: the pace of slots that come free.
     pub(crate) fn expected_wait(&self, priority: u8, slots: u32) -> Duration {
-        let ahead = self.timely.ahead(priority) + self.late.ahead(priority);
-        self.hold * (ahead as u32) / slots.max(1)
+        let ahead = self.on_time.ahead(priority) + self.late.ahead(priority);
+        self.average_hold * (ahead as u32) / slots.max(1)
     }
 
-    pub(crate) fn push(&mut self, ask: Ask) {
-        let (request, priority, team) = (ask.request, ask.priority, ask.team.clone());
-        let key = self.asks.insert(ask);
+    pub(crate) fn enqueue(&mut self, slot_request: SlotRequest) {
+        let (request, priority, team) =
+            (slot_request.request, slot_request.priority, slot_request.team.clone());
+        let key = self.requests.insert(slot_request);
         self.by_request.insert(request, key);
-        self.timely.push(priority, &team, key);
+        self.on_time.push(priority, &team, key);
     }
 
     /// The request to be served next, left where it is; those that cannot be in time any more are moved behind
     /// those that can.
-    pub(crate) fn peek(&mut self, now: Instant) -> Option<AskKey> {
+    pub(crate) fn peek(&mut self, now: Instant) -> Option<SlotRequestKey> {
         self.demote(now);
-        let late_first = self.turn.is_multiple_of(LATE_TURN);
+        let late_first = self.grants.is_multiple_of(LATE_GRANT_INTERVAL);
         let (first, second) =
-            if late_first { (&self.late, &self.timely) } else { (&self.timely, &self.late) };
+            if late_first { (&self.late, &self.on_time) } else { (&self.on_time, &self.late) };
         first.peek().or_else(|| second.peek())
     }
 
-    pub(crate) fn ask(&self, key: AskKey) -> &Ask {
-        &self.asks[key]
+    pub(crate) fn waiting_request(&self, key: SlotRequestKey) -> &SlotRequest {
+        &self.requests[key]
     }
 
     /// Takes the request that was peeked at; its team is charged.
-    pub(crate) fn take(&mut self, key: AskKey, weight: impl Fn(&str) -> u32) -> Ask {
-        self.turn = self.turn.wrapping_add(1);
-        let ask = self.asks.remove(key).expect("a queued request is in the arena");
-        self.by_request.remove(&ask.request);
-        let queue = if ask.late { &mut self.late } else { &mut self.timely };
+    pub(crate) fn take(&mut self, key: SlotRequestKey, weight: impl Fn(&str) -> u32) -> SlotRequest {
+        self.grants = self.grants.wrapping_add(1);
+        let slot_request = self.requests.remove(key).expect("a queued request is in the arena");
+        self.by_request.remove(&slot_request.request);
+        let queue = if slot_request.late { &mut self.late } else { &mut self.on_time };
         let taken = queue.pop(weight);
         assert!(taken == Some(key), "the request that is served is the one that was next");
-        ask
+        slot_request
     }
 
     fn demote(&mut self, now: Instant) {
-        while let Some(key) = self.timely.peek() {
-            let ask = &mut self.asks[key];
-            if now <= ask.start_by {
+        while let Some(key) = self.on_time.peek() {
+            let slot_request = &mut self.requests[key];
+            if now <= slot_request.start_by {
                 return;
             }
-            ask.late = true;
-            self.timely.remove(ask.priority, &ask.team, key);
-            self.late.push(ask.priority, &ask.team, key);
+            slot_request.late = true;
+            self.on_time.remove(slot_request.priority, &slot_request.team, key);
+            self.late.push(slot_request.priority, &slot_request.team, key);
         }
     }
 
@@ -185,41 +186,47 @@
         let Some(key) = self.by_request.remove(&request) else {
             return false;
         };
-        let Some(ask) = self.asks.remove(key) else {
+        let Some(slot_request) = self.requests.remove(key) else {
             return false;
         };
-        let queue = if ask.late { &mut self.late } else { &mut self.timely };
-        let found = queue.remove(ask.priority, &ask.team, key);
+        let queue = if slot_request.late { &mut self.late } else { &mut self.on_time };
+        let found = queue.remove(slot_request.priority, &slot_request.team, key);
         assert!(found, "a waiting request stands in the queue that it is marked for");
         true
     }
 
-    pub(crate) fn grant(&mut self, now: Instant, ask: &Ask, prefill: EndpointKey, decode: EndpointKey) {
+    pub(crate) fn grant(
+        &mut self,
+        now: Instant,
+        slot_request: &SlotRequest,
+        prefill: EndpointKey,
+        decode: EndpointKey,
+    ) {
         let lease = Lease {
-            from: ask.from,
+            requester: slot_request.requester,
             prefill: Some(prefill),
             decode: Some(decode),
-            prompt: ask.prompt,
+            prompt_tokens: slot_request.prompt_tokens,
             granted: now,
             renewed: now,
         };
-        let before = self.leases.insert(ask.request, lease);
-        assert!(before.is_none(), "{} is granted slots twice", ask.request);
+        let before = self.leases.insert(slot_request.request, lease);
+        assert!(before.is_none(), "{} is granted slots twice", slot_request.request);
         let used = self.used.entry(prefill).or_default();
         used.requests += 1;
-        used.tokens += ask.prompt;
+        used.tokens += slot_request.prompt_tokens;
         self.used.entry(decode).or_default().requests += 1;
-        self.released.remove(&ask.request);
+        self.released.remove(&slot_request.request);
     }
 
     /// Gives back the prefill slot, the decode slot or both.
-    pub(crate) fn free(&mut self, now: Instant, request: RequestId, prefill: bool, decode: bool) {
+    pub(crate) fn release(&mut self, now: Instant, request: RequestId, prefill: bool, decode: bool) {
         let Some(lease) = self.leases.get_mut(&request) else {
             return;
         };
         let freed_prefill = if prefill { lease.prefill.take() } else { None };
         let freed_decode = if decode { lease.decode.take() } else { None };
-        let (prompt, granted) = (lease.prompt, lease.granted);
+        let (prompt_tokens, granted) = (lease.prompt_tokens, lease.granted);
         if lease.prefill.is_none() && lease.decode.is_none() {
             self.leases.remove(&request);
             self.released.insert(request, now);
@@ -227,16 +234,17 @@
         if let Some(endpoint) = freed_prefill {
             let used = self.used.entry(endpoint).or_default();
             used.requests -= 1;
-            used.tokens -= prompt;
+            used.tokens -= prompt_tokens;
         }
         if let Some(endpoint) = freed_decode {
             self.used.entry(endpoint).or_default().requests -= 1;
             let held = now.duration_since(granted);
-            self.hold = if self.hold.is_zero() { held } else { (self.hold * 15 + held) / 16 };
+            self.average_hold =
+                if self.average_hold.is_zero() { held } else { (self.average_hold * 15 + held) / 16 };
         }
     }
 
-    pub(crate) fn used(&self, endpoint: EndpointKey) -> Use {
+    pub(crate) fn usage(&self, endpoint: EndpointKey) -> Usage {
         self.used.get(&endpoint).copied().unwrap_or_default()
     }
 
@@ -246,29 +254,36 @@
     }
 
     /// An instance lists its requests: its other leases are void.
-    pub(crate) fn renew(&mut self, now: Instant, from: InstanceId, incarnation: u64, held: &BTreeSet<u64>) {
-        let mut gone = Vec::new();
-        for (&request, lease) in self.leases.iter_mut().filter(|(_, l)| l.from == from) {
+    pub(crate) fn renew_leases(
+        &mut self,
+        now: Instant,
+        from: InstanceId,
+        incarnation: u64,
+        held: &BTreeSet<u64>,
+    ) {
+        let mut void = Vec::new();
+        for (&request, lease) in self.leases.iter_mut().filter(|(_, l)| l.requester == from) {
             if request.incarnation == incarnation && held.contains(&request.sequence) {
                 lease.renewed = now;
-            } else if now.duration_since(lease.granted) > YOUNG {
-                gone.push(request);
+            } else if now.duration_since(lease.granted) > RENEWAL_GRACE {
+                void.push(request);
             }
         }
-        for request in gone {
-            self.free(now, request, true, true);
+        for request in void {
+            self.release(now, request, true, true);
         }
     }
 
     /// Drops what nobody renews or waits for.
     pub(crate) fn expire(&mut self, now: Instant) {
-        let void = self.leases.iter().filter(|(_, l)| now.duration_since(l.renewed) > LEASE);
+        let void = self.leases.iter().filter(|(_, l)| now.duration_since(l.renewed) > LEASE_TIMEOUT);
         let void: Vec<RequestId> = void.map(|(&r, _)| r).collect();
         for request in void {
-            self.free(now, request, true, true);
+            self.release(now, request, true, true);
         }
-        self.released.retain(|_, at| now.duration_since(*at) < ECHO);
-        let over: Vec<RequestId> = self.asks.values().filter(|a| now > a.until).map(|a| a.request).collect();
+        self.released.retain(|_, at| now.duration_since(*at) < RELEASED_RETENTION);
+        let over: Vec<RequestId> =
+            self.requests.values().filter(|a| now > a.gives_up).map(|a| a.request).collect();
         for request in over {
             self.withdraw(request);
         }
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -50,14 +50,14 @@
     }
 
     /// Takes an offer in, and says what became of it. `None` if the same refusal was reported before.
-    pub(crate) fn offer(&mut self, candidate: ConfigurationCandidate) -> Option<Verdict> {
+    pub(crate) fn consider(&mut self, candidate: ConfigurationCandidate) -> Option<Verdict> {
         match candidate {
-            ConfigurationCandidate::Valid { configuration, text } => self.valid(configuration, text),
+            ConfigurationCandidate::Valid { configuration, text } => self.consider_valid(configuration, text),
             ConfigurationCandidate::Invalid { version, mistakes } => self.refuse(version, mistakes),
         }
     }
 
-    fn valid(&mut self, configuration: Arc<Configuration>, text: Arc<str>) -> Option<Verdict> {
+    fn consider_valid(&mut self, configuration: Arc<Configuration>, text: Arc<str>) -> Option<Verdict> {
         if configuration.deployment != self.deployment {
             let cause = format!("it is for {:?}, not {:?}", configuration.deployment, self.deployment);
             return self.refuse(Some(configuration.version), cause);
@@ -67,7 +67,7 @@
                 return Some(Verdict::Stale);
             }
             if configuration.version == current.version {
-                return self.same(&configuration);
+                return self.consider_same_number(&configuration);
             }
         }
         let before = self.number();
@@ -78,7 +78,7 @@
 
     /// Two contents under one number would leave two halves of the fleet apart without anyone noticing:
     /// the second is refused loudly, and the next number heals it.
-    fn same(&mut self, configuration: &Arc<Configuration>) -> Option<Verdict> {
+    fn consider_same_number(&mut self, configuration: &Arc<Configuration>) -> Option<Verdict> {
         let Some(current) = self.current() else {
             return Some(Verdict::Stale);
         };
