--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,7 +1,8 @@
-//! The idempotency key of a request, seen from the instance that took the request from its caller.
+//! Claims for idempotency keys, at the instance that received the request from its caller.
 //!
-//! Nothing is sent to an endpoint before the key's home has granted it. If the home cannot be asked, the
-//! honest answer is "unknown", not "not run": an earlier try with the key may have run elsewhere.
+//! No request with a key is sent to an endpoint before the key's home has granted the key. If the home does
+//! not answer, the caller is told "unknown" and not "not run", because an earlier request with the key may
+//! have run through another instance.
 
 use std::time::{Duration, Instant};
 
@@ -13,21 +14,23 @@
 use crate::requests::{Phase, Request};
 use crate::{CallerKey, IdempotencyKey, InstanceId, RequestId, Ticket};
 
-/// How long the home has to answer, inquiries among homes included.
+/// Time that the home has to answer a claim, its inquiries of other instances included.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// After a freeze, requests that came meanwhile are read within this time.
+/// Within this time after a freeze, requests are read that arrived during the freeze.
 const POST_FREEZE_WINDOW: Duration = Duration::from_secs(5);
-/// Time between two rounds that ask silent homes again.
+/// Time between two rounds in which open claims are sent again.
 const RECLAIM_INTERVAL: Duration = Duration::from_millis(250);
-/// When to try a key again that cannot be told about or is in use.
+/// `Retry-After` delay for a key that is in use or whose outcome is not known now.
 const KEY_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// How long the fate of a keyed request is remembered here: a connection between instances, and what lies in it, ends sooner.
+/// How long the outcome of a request with a key is kept. A connection between instances, with all data in its
+/// buffers, ends sooner.
 const ENDED_CLAIM_RETENTION: Duration = Duration::from_mins(1);
-/// Most fates that are remembered, with answers of [`StoredResponse::MAX_BODY_BYTES`](crate::StoredResponse::MAX_BODY_BYTES) bytes each: 16 MB.
+/// Maximum number of outcomes that are kept. With responses of
+/// [`StoredResponse::MAX_BODY_BYTES`](crate::StoredResponse::MAX_BODY_BYTES) bytes each, they take 16 MB.
 const ENDED_CLAIMS_MAX: usize = 1024;
 
-/// A keyed request that has ended.
+/// A request with a key that has ended.
 #[derive(Debug)]
 pub(crate) struct EndedClaim {
     at: Instant,
@@ -39,7 +42,8 @@
         let has_creation_time = self.requests.get(key).key.is_some_and(|k| k.born.is_some());
         let recently_frozen = self.freeze_ended.is_some_and(|at| now.duration_since(at) < POST_FREEZE_WINDOW);
         if recently_frozen && !has_creation_time {
-            // It may have lain here for longer than any home remembers keys, and a grant could be a second one.
+            // The request may have waited in the socket for longer than homes keep records, so that a grant
+            // could be the second one for the key.
             return self.refuse(now, key, Refusal::retryable(ErrorKind::KeyUnknown, KEY_RETRY_AFTER), out);
         }
         self.requests.get_mut(key).phase = Phase::Claiming;
@@ -60,7 +64,7 @@
         self.deliver(now, home, Message::Claim { key: idempotency, request: id, revision, born }, out);
     }
 
-    /// The home answered.
+    /// Processes the home's answer to a claim.
     pub(crate) fn claim_answered(
         &mut self,
         now: Instant,
@@ -104,7 +108,8 @@
         self.admit(now, key, out);
     }
 
-    /// The home uses another list: whoever is behind catches up, and the claim is made again.
+    /// Handles a claim that the home answered at another list revision: the instance that is behind receives
+    /// the newer list, and the claim is repeated.
     fn resolve_list_mismatch(
         &mut self,
         now: Instant,
@@ -116,7 +121,7 @@
         let ours = self.members.revision();
         if theirs > ours {
             let message = self.fetch_message();
-            // The claim is repeated by `reclaim` when the list has come.
+            // When the list has arrived, `resend_claims` repeats the claim.
             return self.deliver(now, home, message, out);
         }
         if theirs < ours
@@ -127,8 +132,8 @@
         self.send_claim(now, key, out);
     }
 
-    /// Asks homes again that have not answered. A claim or its answer can be lost with a connection; asking again
-    /// is harmless, because a home knows the request that it granted.
+    /// Repeats claims that have no answer yet. A claim or its answer can be lost with a connection. Repeating
+    /// a claim is harmless, because a home recognizes the request that it granted the key to.
     pub(crate) fn resend_due_claims(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if now >= self.next_reclaim {
             self.next_reclaim = now + RECLAIM_INTERVAL;
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Open claims go to the home by the list in use.
+    /// Sends all open claims to the homes by the current list.
     pub(crate) fn resend_claims(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let claiming = self.requests.iter().filter(|(_, r)| r.phase == Phase::Claiming);
         let keys: Vec<RequestKey> = claiming.map(|(key, _)| key).collect();
@@ -145,12 +150,13 @@
         }
     }
 
-    /// Tells a home that has granted a key to a request what became of that request, if it has ended.
+    /// Tells a home the outcome of a request that it granted a key to, if the request has ended.
     ///
-    /// Claims are repeated and overtake one another, and word of a fate can be lost with a connection: a home may grant a
-    /// request after it has ended, or forget that and grant it again. Unanswered, such a grant would keep the key "in use"
-    /// for every retry of the caller. So each grant of a request that ended is answered, for as long as a claim can lie in
-    /// the socket of a home that is frozen.
+    /// Claims are repeated and reordered, and the message with an outcome can be lost with its connection. A
+    /// home may therefore grant a key to a request that has ended, or release that grant and grant the key to
+    /// the same request again. Without a reply, such a grant would keep the key "in use" for every retry of
+    /// the caller. Each grant to a request that has ended is therefore answered, for as long as a claim can
+    /// stay in the socket of a frozen home.
     fn resend_outcome(
         &mut self,
         now: Instant,
@@ -164,7 +170,7 @@
         self.deliver(now, home, message, out);
     }
 
-    /// Remembers the fate of a keyed request; the oldest is forgotten if there are too many.
+    /// Keeps the outcome of a request with a key. The oldest outcomes are removed if there are too many.
     fn remember_outcome(&mut self, now: Instant, id: RequestId, outcome: ClaimOutcome) {
         self.ended_claims.insert(id, EndedClaim { at: now, outcome });
         while self.ended_claims.len() > ENDED_CLAIMS_MAX {
@@ -172,19 +178,19 @@
         }
     }
 
-    /// Forgets fates that no home can ask for any more.
+    /// Removes outcomes that no home can ask for any more.
     pub(crate) fn expire_ended_claims(&mut self, now: Instant) {
         self.ended_claims.retain(|_, ended| now.duration_since(ended.at) < ENDED_CLAIM_RETENTION);
     }
 
-    /// Remembers a request that ended while it waited for a grant: it never ran.
+    /// Keeps the outcome of a request that ended while it waited for a grant: the request never ran.
     pub(crate) fn remember_unclaimed(&mut self, now: Instant, request: &Request) {
         if request.phase == Phase::Claiming {
             self.remember_outcome(now, request.id, ClaimOutcome::NotRun);
         }
     }
 
-    /// Tells the home what became of a request that held a claim.
+    /// Tells the home the outcome of a request that held a grant.
     pub(crate) fn settle_claim(
         &mut self,
         now: Instant,
--- a/crates/core/src/homes.rs
+++ b/crates/core/src/homes.rs
@@ -1,44 +1,51 @@
-//! At most once per idempotency key, without shared state.
+//! Grants each idempotency key to at most one request, without shared state.
 //!
-//! Every key has a home: the instance that rendezvous hashing picks from the published list. Whoever takes a
-//! keyed request from a caller asks the home for a grant before anything is sent to an endpoint; a home
-//! grants a key once. The safety argument, step by step:
+//! Every key has a home instance, which rendezvous hashing selects from the instance list that the platform
+//! publishes. An instance that receives a request with a key asks the home for a grant before it sends
+//! anything to an endpoint. A home grants a key once. The safety argument:
 //!
-//! 1. Asker and home must use the same list revision, or the one behind catches up first. So at one revision
-//!    a key has one home.
-//! 2. When the list changes, a new home first asks every earlier home for its record of the key. An earlier
-//!    home that answers has taken over the new list, by which it is no longer home, so it will not grant
-//!    the key any more.
-//! 3. An earlier home that does not answer (dead, frozen, cut off), or has been started again since the key
-//!    can have been granted, may have granted it. The new home
-//!    says "unknown" until the horizon, after which callers do not retry, has passed.
-//! 4. Meanwhile the silent earlier home may be alive behind a cut. It may grant only while its tenure holds:
-//!    it has read the list from the platform within [`GRANT_LEASE`], or every member answered at its very
-//!    revision within [`GRANT_LEASE`]. A list that left it out is newer than what it could read, and a member that
-//!    has moved on does not answer at the old revision. A frozen home that wakes finds its tenure lapsed.
-//! 5. A home that has just started has lost the records of its former life, and knows of no list before its first. It asks
-//!    the runner-up of the key, which would have been home without it and took over the records if the former life stopped
-//!    as planned. No record is an answer only where the former life cannot have been home by the list in use, because the
-//!    new one has seen a list that left it out.
-//!    Lists that it has not seen, also after a cut, it learns by their homes: a member that has seen all of them names those
-//!    of the key, and each of them is asked. Revisions rise by one, so that a list that was missed is noticed.
+//! 1. The requesting instance and the home must use the same list revision; the one that is behind catches up
+//!    first. At one revision a key therefore has one home.
+//! 2. After a change of the list, a new home first asks every previous home for its record of the key. A
+//!    previous home that answers uses the new list, by which it is not the home, and does not grant the key
+//!    any more.
+//! 3. A previous home may have granted the key if it does not answer (crashed, frozen or partitioned), or if
+//!    it has restarted since the key may have been granted. The new home then answers "unknown" until the
+//!    horizon has passed; callers do not retry after the horizon.
+//! 4. Meanwhile a previous home that does not answer may still run behind a network partition. It grants keys
+//!    only while it holds the grant lease: either it has read its list from the platform within
+//!    [`GRANT_LEASE`] and at least half of the other members use that list or a later one, or every other
+//!    member has answered at exactly its revision within [`GRANT_LEASE`]. A list without this home is newer
+//!    than any list that the home could read, and a member that uses a newer list does not answer at the old
+//!    revision. The grant lease of a frozen home has expired when the home resumes running.
+//! 5. A home that has just started has lost the records of its previous incarnation and knows no list before
+//!    its first one. It asks the runner-up of the key, which would be the home without this instance and
+//!    which took over the records if the previous incarnation shut down gracefully. A missing record is proof
+//!    only if the previous incarnation cannot have been the home by the current list, because this
+//!    incarnation has seen a list without itself. The home learns about lists that it has not seen, after a
+//!    start or a network partition, from their homes: a member that has seen all of these lists names the
+//!    homes of the key, and each of them is asked. Revisions rise by one, so that a missed list is noticed.
 //!
-//! 6. A key that tells when it was made (a UUID of version 7) needs no inquiry of an earlier home whose last
-//!    possible grant lies before that. The last possible grant
-//!    - of a home by a list that has been replaced lies [`GRANT_LEASE`] after the first use of a later list by anybody. Members
-//!      tell one another for how long their list has been in use, so that a start learns the age of its first list;
-//!    - of a former start of this instance lies before this start, where a list has named this instance at its own address:
-//!      a process listens there for as long as it lives. Otherwise [`GRANT_LEASE`] after this start.
+//! 6. A key with a creation time (a UUID of version 7) needs no inquiry of a previous home whose last
+//!    possible grant precedes that time. The last possible grant
+//!    - of a home by a replaced list is [`GRANT_LEASE`] after the first use of a later list by any member.
+//!      Members tell one another for how long their list has been in use, so that a new process learns the
+//!      age of its first list;
+//!    - of a previous incarnation of this instance precedes this start if a list has named this instance at
+//!      its own address, because no other process can listen there while this one runs. Otherwise it is at
+//!      most [`GRANT_LEASE`] after this start.
 //!
-//!    After a start or a change of the list only keys that were made earlier, or do not tell, meet an "unknown".
+//!    After a start or a change of the list, only keys that were created earlier, or that have no creation
+//!    time, are answered with "unknown".
 //!
-//! 7. A key is good for the horizon. One that tells its age is refused as "unknown" once it is older: a request
-//!    can lie in the socket of a frozen instance for any time and come up when everything about it is
-//!    forgotten. For keys that do not tell, an instance that wakes answers "unknown" for a while.
+//! 7. A key is valid for the horizon. A key with a creation time is refused as "unknown" once it is older
+//!    than that: a request can stay in the socket of a frozen instance for any time and be read when every
+//!    record of the key has been removed. For keys without a creation time, an instance that was frozen
+//!    answers "unknown" for a while after it resumes running.
 //!
-//! What remains open is stated in docs/AT-MOST-ONCE.md: an asker that is frozen between the check of its grant
-//! and the write to the endpoint for longer than the horizon, and a list of which more than half the members
-//! are replaced inside one cut.
+//! docs/AT-MOST-ONCE.md states the remaining gaps: an instance that is frozen for longer than the horizon
+//! between the check of its grant and the write to the endpoint, and a list of which more than half of the
+//! members are replaced during one network partition.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -47,11 +54,12 @@
 use crate::message::{ClaimAnswer, ClaimOutcome, KeyRecord, Message};
 use crate::{IdempotencyKey, InstanceId, RequestId};
 
-/// How long a reading of the list entitles a home to grant.
+/// How long a read of the list entitles a home to grant keys.
 pub(crate) const GRANT_LEASE: Duration = Duration::from_secs(10);
-/// How long a home waits for earlier homes before it answers "unknown".
+/// How long a home waits for other instances before it answers "unknown".
 const INQUIRY_TIMEOUT: Duration = Duration::from_millis(700);
-/// Bytes of kept answers, over all keys; beyond it the oldest answers are dropped, never the records.
+/// Total size of the stored responses of all keys. Above this limit the oldest responses are dropped; the
+/// records that the requests ran are kept.
 const STORED_RESPONSE_BYTES_MAX: usize = 32 << 20;
 /// Records in one handover message.
 const HANDOVER_RECORDS_MAX: usize = 256;
@@ -62,54 +70,54 @@
     at: Instant,
 }
 
-/// A claim as it arrived.
+/// A received claim.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Claim {
-    /// Who asks; this instance itself for its own callers.
+    /// Requesting instance; this instance itself for its own callers.
     pub(crate) from: InstanceId,
     pub(crate) request: RequestId,
-    /// List revision of the asker.
+    /// List revision of the requesting instance.
     pub(crate) revision: u64,
-    /// When the key was made, in milliseconds since the Unix epoch, if it tells.
+    /// Creation time of the key in milliseconds since the Unix epoch, if the key carries it.
     pub(crate) born: Option<u64>,
 }
 
-/// What an instance has to say for a key to be granted, unless it has a record of it.
+/// What the reply of an instance without a record of the key must prove before the key is granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequiredEvidence {
-    /// That it has not granted the key itself.
+    /// The instance itself has not granted the key.
     OwnGrants,
-    /// Besides, who was home by lists that were never in use here.
+    /// In addition, the instance knows the homes of the key by all lists that were never in use here.
     OwnGrantsAndLists,
-    /// Nothing that it could say is enough.
+    /// No proof is possible: only a record of the key settles the inquiry.
     RecordOnly,
 }
 
-/// A claim that waits for earlier homes.
+/// Claims of one key that wait for the replies of other instances.
 #[derive(Debug)]
 struct Inquiry {
     born: Option<u64>,
     claims: Vec<(InstanceId, RequestId)>,
-    /// Instances still to answer.
+    /// Instances that have not replied yet.
     pending: BTreeMap<InstanceId, RequiredEvidence>,
     deadline: Instant,
-    /// Whether one of them cannot tell, now or later.
+    /// Whether a replying instance can never prove what is required.
     unanswerable: bool,
 }
 
-/// The last word of an instance that stopped.
+/// A handover that an instance completed before it shut down.
 #[derive(Debug, Clone, Copy)]
 struct CompletedHandover {
     at: Instant,
     incarnation: u64,
 }
 
-/// What a home knows, and what it is finding out.
+/// Records of the keys that this instance is or was the home of, and pending inquiries.
 #[derive(Debug)]
 pub(crate) struct Homes {
     me: InstanceId,
     started: Instant,
-    /// The start in milliseconds since the Unix epoch.
+    /// Start of the process in milliseconds since the Unix epoch.
     started_ms: u64,
     horizon: Duration,
     /// How far a caller's clock may be ahead.
@@ -118,15 +126,15 @@
     by_age: std::collections::VecDeque<(Instant, IdempotencyKey)>,
     record_bytes: usize,
     inquiries: BTreeMap<IdempotencyKey, Inquiry>,
-    /// Last time the list was read from the platform at the revision in use.
+    /// Start of the last read from the platform that returned the current revision.
     list_read: Option<Instant>,
-    /// Instances that handed all their records over before they stopped.
+    /// Instances that handed over all of their records before they shut down.
     handovers: HashMap<InstanceId, CompletedHandover>,
-    /// Whether this instance has handed its records over, and grants nothing any more.
+    /// Whether this instance has handed over its records; it grants no key afterwards.
     handover_done: bool,
 }
 
-/// What an earlier home answered.
+/// Reply to an inquiry.
 #[derive(Debug)]
 pub(crate) struct InquiryReply {
     pub(crate) revision: u64,
@@ -136,7 +144,7 @@
     pub(crate) homes: Vec<InstanceId>,
 }
 
-/// Messages to send and answers to give, in order.
+/// Messages to send, in order.
 #[derive(Debug, Default)]
 pub(crate) struct Replies {
     pub(crate) messages: Vec<(InstanceId, Message)>,
@@ -147,10 +155,11 @@
         self.messages.push((to, Message::Claimed { key, request, answer }));
     }
 
-    /// Answers a claim of a key that is on record.
+    /// Answers a claim of a key that has a record.
     ///
-    /// Word of how a grant ended can be lost. Where another request wants the key, its holder is reminded of the grant, gone
-    /// or not; it says again what became of it, or nothing while it still runs.
+    /// The message that settles a grant can be lost. When another request claims the key, the holder is
+    /// therefore sent its grant again, even if it is considered dead. The holder then repeats the outcome of
+    /// its request, or does not reply while the request still runs.
     fn answer_from_record(
         &mut self,
         (to, key, request): (InstanceId, IdempotencyKey, RequestId),
@@ -190,33 +199,35 @@
         self.skew = skew;
     }
 
-    /// Keys on record.
+    /// Number of keys with a record.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// A new list came into use.
+    /// Discards what was learned under the previous list.
     ///
-    /// An instance that is live in it may be a new process under an old name, with grants that the handover
-    /// of the old one does not hold; forgetting the handover costs an "unknown" at most.
+    /// A listed instance that is not leaving may be a new process under an old name, whose grants are missing
+    /// in the handover of the old process. A handover that is discarded needlessly costs at most an
+    /// "unknown".
     pub(crate) fn list_changed(&mut self, members: &Members) {
         self.handovers.retain(|&id, _| members.get(id).is_none_or(|m| m.leaving));
         self.list_read = None;
-        // What they ask for was found by the former list. Askers claim again by the new one.
+        // The inquiries were addressed according to the previous list. Requesting instances repeat their
+        // claims at the new revision.
         self.inquiries.clear();
     }
 
-    /// The list was read from the platform and is the one in use.
-    pub(crate) fn list_confirmed(&mut self, asked: Instant) {
-        self.list_read = self.list_read.max(Some(asked));
+    /// The platform returned the current list; `read_started` is when that read was started.
+    pub(crate) fn list_confirmed(&mut self, read_started: Instant) {
+        self.list_read = self.list_read.max(Some(read_started));
     }
 
-    /// Whether the list in use was read from the platform lately.
+    /// Whether the current list was read from the platform within [`GRANT_LEASE`].
     pub(crate) fn list_is_fresh(&self, now: Instant) -> bool {
         self.list_read.is_some_and(|at| now.duration_since(at) < GRANT_LEASE)
     }
 
-    /// Whether this instance may grant now; step 4 of the argument.
+    /// Whether this instance may grant keys now; see step 4 of the module documentation.
     fn holds_grant_lease(&self, now: Instant, members: &Members) -> bool {
         let since = now.checked_sub(GRANT_LEASE).unwrap_or(now);
         (self.list_is_fresh(now) && members.half_confirmed_list()) || members.all_confirmed_list(since)
@@ -270,7 +281,8 @@
         replies
     }
 
-    /// Instances that must be heard before the key may be granted; steps 2 and 5. None if nobody can tell.
+    /// Instances that must reply before the key may be granted, by steps 2 and 5 of the module documentation.
+    /// `None` if no instance can provide the proof.
     fn instances_to_ask(
         &self,
         now: Instant,
@@ -279,8 +291,8 @@
         born: Option<u64>,
     ) -> Option<BTreeMap<InstanceId, RequiredEvidence>> {
         let mut pending = BTreeMap::new();
-        for (home, replaced) in members.previous_homes(key) {
-            if self.created_after(born, replaced, GRANT_LEASE) {
+        for (home, replaced_at) in members.previous_homes(key) {
+            if self.created_after(born, replaced_at, GRANT_LEASE) {
                 continue;
             }
             if home != self.me && !self.handed_over(members, home) {
@@ -301,7 +313,7 @@
         Some(pending)
     }
 
-    /// Whether no former start of this instance can have granted a key.
+    /// Whether no previous incarnation of this instance can have granted a key.
     fn own_grants_known(&self, now: Instant, members: &Members, born: Option<u64>) -> bool {
         let margin = if members.listed_at_own_address() { Duration::ZERO } else { GRANT_LEASE };
         now.duration_since(self.started) >= self.retention() || self.created_after(born, self.started, margin)
@@ -314,35 +326,40 @@
         })
     }
 
-    /// Whether an instance has handed over all that it granted. A later start of it may have granted since.
+    /// Whether an instance has handed over all of its grants. A later incarnation of the instance may have
+    /// granted keys since.
     fn handed_over(&self, members: &Members, home: InstanceId) -> bool {
-        self.handovers.get(&home).is_some_and(|handed| members.latest_incarnation(home) <= handed.incarnation)
+        self.handovers
+            .get(&home)
+            .is_some_and(|handover| members.latest_incarnation(home) <= handover.incarnation)
     }
 
-    /// Whether a key is older than anything that is remembered about keys.
+    /// Whether a key is older than the horizon, beyond which records are not kept.
     fn is_expired(&self, now: Instant, born: Option<u64>) -> bool {
         let age = |born| self.unix_ms(now).saturating_sub(born);
         born.is_some_and(|born| age(born) > self.horizon.as_millis() as u64)
     }
 
-    /// Milliseconds since the Unix epoch, by the clock at the start and the monotonic time from there.
+    /// Milliseconds since the Unix epoch, from the wall clock at the start and the monotonic clock since
+    /// then.
     fn unix_ms(&self, at: Instant) -> u64 {
         let before = self.started.duration_since(at).as_millis() as u64;
         self.started_ms.saturating_sub(before) + at.duration_since(self.started).as_millis() as u64
     }
 
-    /// How long records and former lists are kept: a caller's clock may be ahead and its key look younger.
+    /// How long records and previous lists are kept. The caller's clock may be ahead, so that a key may
+    /// appear younger than it is.
     pub(crate) fn retention(&self) -> Duration {
         self.horizon + self.skew + GRANT_LEASE
     }
 
-    /// Whether a key was made later than `margin` after a moment. The caller's clock may be ahead.
+    /// Whether a key was created more than `margin` after `at`, allowing for a caller's clock that is ahead.
     fn created_after(&self, born: Option<u64>, at: Instant, margin: Duration) -> bool {
         let margin = (margin + self.skew).as_millis() as u64;
         born.is_some_and(|born| born > self.unix_ms(at) + margin)
     }
 
-    /// Ends an inquiry that has all its answers, or no time left.
+    /// Answers the claims of an inquiry that has all replies or has reached its deadline.
     fn finish_inquiry(
         &mut self,
         now: Instant,
@@ -353,7 +370,7 @@
         let Some(inquiry) = self.inquiries.get(&key) else {
             return;
         };
-        // The tenure is checked last, at the moment of the grant: an inquiry takes time.
+        // An inquiry takes time, so the grant lease is checked at the moment of the grant.
         let holds_grant_lease = self.holds_grant_lease(now, members);
         let all_answered = inquiry.pending.is_empty();
         if !(all_answered && holds_grant_lease) && now < inquiry.deadline {
@@ -385,7 +402,7 @@
         self.by_age.push_back((now, key));
     }
 
-    /// What became of a grant.
+    /// Stores the outcome of a granted request.
     pub(crate) fn settle(
         &mut self,
         now: Instant,
@@ -407,7 +424,7 @@
         }
     }
 
-    /// A later home asks for a record.
+    /// Answers the inquiry of a later home.
     pub(crate) fn answer_inquiry(
         &mut self,
         now: Instant,
@@ -417,21 +434,24 @@
     ) -> Message {
         let ours = members.revision();
         if ours == revision && members.home(key) == Some(self.me) {
-            // Two lists under one revision: the platform broke its word. Neither side may grant.
+            // Two different lists have the same revision, which the platform guarantees not to happen.
+            // Neither home may grant the key.
             self.insert_record(now, key, KeyRecord::Unknown);
         }
-        // Claims that waited here were dropped with the former list, so that none ends in a grant after this answer.
+        // Claims that waited here were dropped with the previous list, so that none of them is granted after
+        // this answer.
         let own_grants_known = self.own_grants_known(now, members, born);
         let lists_known = self.lists_known(now, members, born);
-        let former = members.previous_homes(key).into_iter();
-        let may_have = former.filter(|&(_, replaced)| !self.created_after(born, replaced, GRANT_LEASE));
+        let previous = members.previous_homes(key).into_iter();
+        let may_have =
+            previous.filter(|&(_, replaced_at)| !self.created_after(born, replaced_at, GRANT_LEASE));
         let others = may_have.map(|(home, _)| home).filter(|&home| home != self.me);
         let homes = others.filter(|&home| !self.handed_over(members, home)).collect();
         let record = self.entries.get(&key).map(|e| e.record.clone());
         Message::Inquired { key, revision: ours, record, own_grants_known, lists_known, homes }
     }
 
-    /// An earlier home answered.
+    /// Processes the reply to an inquiry.
     pub(crate) fn inquiry_answered(
         &mut self,
         now: Instant,
@@ -449,12 +469,13 @@
             return replies;
         };
         if revision < members.revision() {
-            // It still acts on an older list and could grant: let it catch up, then ask again.
+            // The instance still uses an older list and could grant the key: send the current list and repeat
+            // the inquiry.
             if let Some(list) = &members.list {
                 replies.messages.push((from, Message::List(list.clone())));
             }
-            let again = Message::Inquire { key, revision: members.revision(), born };
-            replies.messages.push((from, again));
+            let repeat = Message::Inquire { key, revision: members.revision(), born };
+            replies.messages.push((from, repeat));
             return replies;
         }
         let was_home = homes.contains(&self.me) && !self.own_grants_known(now, members, born);
@@ -473,7 +494,7 @@
         if record.is_some() || sufficient {
             inquiry.pending.remove(&from);
         } else {
-            // Nobody can tell, now or later within the horizon: the caller hears it at once.
+            // The proof cannot be given within the horizon, so the claims are answered at once.
             inquiry.deadline = now;
             inquiry.unanswerable = true;
         }
@@ -491,7 +512,7 @@
         replies
     }
 
-    /// Time passed, or the membership changed.
+    /// Finishes inquiries and removes expired records.
     pub(crate) fn tick(&mut self, now: Instant, members: &Members) -> Replies {
         let mut replies = Replies::default();
         let keys: Vec<IdempotencyKey> = self.inquiries.keys().copied().collect();
@@ -502,7 +523,7 @@
         replies
     }
 
-    /// Whether a claim waits for the tenure, so that members should be asked for their revision.
+    /// Whether a claim waits for the grant lease, so that members should be asked for their revision.
     pub(crate) fn needs_list_confirmation(&self, now: Instant, members: &Members) -> bool {
         !self.inquiries.is_empty() && !self.holds_grant_lease(now, members)
     }
@@ -522,49 +543,50 @@
                 self.entries.remove(&key);
                 continue;
             }
-            // Too many bytes: the answer goes, the record that it ran stays.
+            // Above the size limit: drop the response and keep the record that the request ran.
             if let KeyRecord::Ran(stored) = &mut entry.record {
                 *stored = None;
             }
             self.record_bytes += record_bytes(&entry.record);
-            let late = at + self.horizon;
-            entry.at = late;
-            self.by_age.push_back((late, key));
+            let requeued_at = at + self.horizon;
+            entry.at = requeued_at;
+            self.by_age.push_back((requeued_at, key));
         }
         let retention = self.retention();
-        self.handovers.retain(|_, handed| now.duration_since(handed.at) < retention);
+        self.handovers.retain(|_, handover| now.duration_since(handover.at) < retention);
     }
 
-    /// Records for the homes that follow this instance when it stops.
+    /// Handover messages for the instances that become the homes of the records when this instance shuts
+    /// down.
     pub(crate) fn handover_messages(&mut self, members: &Members) -> Vec<(InstanceId, Message)> {
         let incarnation = self.started_ms;
         self.handover_done = true;
-        let mut parts: BTreeMap<InstanceId, Vec<(IdempotencyKey, KeyRecord)>> = BTreeMap::new();
+        let mut records_by_home: BTreeMap<InstanceId, Vec<(IdempotencyKey, KeyRecord)>> = BTreeMap::new();
         for (id, _) in members.iter().filter(|(_, m)| !m.leaving) {
-            parts.insert(id, Vec::new());
+            records_by_home.insert(id, Vec::new());
         }
-        // In the order of the keys, so that the same state gives the same messages.
+        // Sorted by key, so that the same state results in the same messages.
         let mut keys: Vec<IdempotencyKey> = self.entries.keys().copied().collect();
         keys.sort_unstable();
         for key in keys {
             let Some(home) = members.runner_up(key) else {
                 continue;
             };
-            parts.entry(home).or_default().push((key, self.entries[&key].record.clone()));
+            records_by_home.entry(home).or_default().push((key, self.entries[&key].record.clone()));
         }
         let mut messages = Vec::new();
-        for (home, records) in parts {
+        for (home, records) in records_by_home {
             let mut chunks: Vec<Vec<(IdempotencyKey, KeyRecord)>> =
                 records.chunks(HANDOVER_RECORDS_MAX).map(<[_]>::to_vec).collect();
             let final_chunk = chunks.pop().unwrap_or_default();
-            let part = |records, last| (home, Message::Handover { incarnation, records, last });
-            messages.extend(chunks.into_iter().map(|records| part(records, false)));
-            messages.push(part(final_chunk, true));
+            let message = |records, last| (home, Message::Handover { incarnation, records, last });
+            messages.extend(chunks.into_iter().map(|records| message(records, false)));
+            messages.push(message(final_chunk, true));
         }
         messages
     }
 
-    /// Takes over the records of an instance that stops.
+    /// Stores the records of an instance that shuts down.
     pub(crate) fn accept_handover(
         &mut self,
         now: Instant,
@@ -573,8 +595,8 @@
         last: bool,
     ) {
         for (key, record) in records {
-            // A grant that its holder has not settled by now never will be: the record stays a grant, and
-            // `Entry::answer` turns it to unknown once the holder is gone.
+            // A grant that is still unsettled will not be settled later. It stays a grant, and
+            // `Entry::answer` answers "unknown" once the process of its holder has ended.
             if !self.entries.contains_key(&key) {
                 self.insert_record(now, key, record);
             }
@@ -586,14 +608,15 @@
 }
 
 impl Entry {
-    /// What a claim of the key hears.
+    /// Answer to a claim of the key.
     ///
-    /// A holder that seems gone may only be silent, as a busy machine makes any instance for a moment. The grant therefore
-    /// stays on record: were it replaced by "unknown", the word of the holder that comes a moment later would be passed
-    /// over, and every retry of the caller would hear "unknown" of a booking that ran.
+    /// A holder that is considered dead may only be unresponsive for a moment, as any instance on a busy
+    /// machine can be. The grant therefore stays on record: if it were replaced by "unknown", the holder's
+    /// message that settles it a moment later would be ignored, and every retry of the caller would be
+    /// answered with "unknown" although the request ran.
     fn answer(&self, members: &Members, requester: RequestId) -> ClaimAnswer {
         match &self.record {
-            // The same request asks again because the first answer was lost on the way.
+            // The same request repeats its claim because the first answer was lost.
             KeyRecord::Granted(holder) if *holder == requester => ClaimAnswer::Granted,
             KeyRecord::Granted(holder) if holder_ended(members, *holder) => ClaimAnswer::Unknown,
             KeyRecord::Granted(_) => ClaimAnswer::InUse,
@@ -603,7 +626,7 @@
     }
 }
 
-/// Whether the process that holds a grant has ended, so that nobody will settle it.
+/// Whether the process that holds a grant has ended, so that the grant is never settled.
 fn holder_ended(members: &Members, holder: RequestId) -> bool {
     members
         .get(holder.instance)
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,4 +1,4 @@
-//! One entry instance: its state, and the dispatch of events.
+//! One entry instance: its state and the dispatch of events.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -27,29 +27,30 @@
 use crate::versions::{Verdict, Versions};
 use crate::{EndpointId, InstanceId, InstanceList, PoolId, RequestId};
 
-/// Time between two load reports of an engine.
+/// Time between two polls of an engine's load.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks at every member and endpoint.
+/// Time between two reviews of all members, endpoints and limits.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two fetches of documents from peers.
+/// Minimum time between two fetches of a newer configuration or list from peers.
 const FETCH_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two rounds that ask every member for its list revision.
+/// Time between two rounds in which members are asked for their list revision.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(300);
-/// A pause between events that is no mere load: ticks come many times in it.
+/// A longer gap between two events means that the process was frozen. Load alone does not explain such a gap,
+/// in which many ticks are due.
 const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
-/// How long a planned stop waits for unconfirmed cancels and for its last messages to leave.
+/// How long a graceful shutdown waits for unconfirmed cancels and for its last messages to be sent.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(500);
 
-/// Who an instance is.
+/// Identity of an instance.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Name, unique in the fleet.
+    /// Name, unique among all instances.
     pub name: String,
     /// Failure domain.
     pub domain: String,
-    /// Deployment that it serves.
+    /// Deployment that the instance serves.
     pub deployment: String,
-    /// Address for peers, as others reach it.
+    /// Address at which peers reach the instance.
     pub address: SocketAddr,
     /// Start of the process in milliseconds since the Unix epoch; higher than any earlier start under this
     /// name.
@@ -62,20 +63,20 @@
     }
 }
 
-/// What an operator sees of an instance.
+/// State of an instance for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceView {
-    /// Configuration version in force, 0 for none.
+    /// Number of the active configuration, 0 for none.
     pub version: u64,
-    /// List revision in use, 0 for none.
+    /// Revision of the current list, 0 for none.
     pub revision: u64,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
     /// Requests in progress.
     pub requests: usize,
     /// Requests waiting for a slot, by pool.
     pub waiting: BTreeMap<String, usize>,
-    /// Idempotency keys on record here.
+    /// Idempotency keys that have a record here.
     pub keys: usize,
     /// Cancels that engines have not confirmed.
     pub cancels: usize,
@@ -85,11 +86,11 @@
     pub endpoints: Vec<EndpointView>,
     /// Limits of teams.
     pub teams: Vec<TeamView>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
-/// One entry instance. See the head of the crate.
+/// One entry instance; see the documentation of the crate.
 #[derive(Debug)]
 pub struct Instance {
     pub(crate) identity: Identity,
@@ -100,52 +101,53 @@
     pub(crate) homes: Homes,
     pub(crate) requests: Requests,
     pub(crate) queues: BTreeMap<String, Queue<RequestKey>>,
-    /// Moving average of how long a slot is held, by pool.
+    /// Moving average of how long a request holds its slot, by pool.
     pub(crate) slot_hold_times: HashMap<String, Duration>,
-    /// Moving average of a prefill's time for each prompt token, by pool.
+    /// Moving average of the prefill time per prompt token, by pool.
     pub(crate) prefill_token_times: HashMap<String, Duration>,
     /// Moving average of the time from the end of a prefill to the first token, by pool.
     pub(crate) first_token_delays: HashMap<String, Duration>,
-    /// Names of the pools of the configuration in force.
+    /// Names of the pools in the active configuration.
     pub(crate) pools: BTreeMap<PoolId, String>,
-    /// Slots of the pools that this instance owns, or owned lately.
+    /// Slots of the pools that this instance owns or owned recently.
     pub(crate) slots: BTreeMap<PoolId, Slots>,
-    /// Grants of this owner to its own requests, on their way inside a step.
+    /// Slots that this owner granted to its own requests in the current step; applied at the end of
+    /// `grant_slots`.
     pub(crate) own_reservations: Vec<(RequestId, EndpointId, EndpointId)>,
-    /// Pools whose owner was silent, and when.
+    /// Pools whose owner was unresponsive, and when.
     pub(crate) unresponsive_owners: HashMap<String, Instant>,
     pub(crate) next_renew: Instant,
     pub(crate) next_reclaim: Instant,
     pub(crate) cancels: Cancels,
     /// Homes that granted the keys of requests in progress.
     pub(crate) grants: HashMap<RequestId, InstanceId>,
-    /// Requests that endpoints lost a moment ago.
+    /// Requests that failed at an endpoint recently, which may have crashed.
     pub(crate) losses: Vec<Loss>,
-    /// Requests whose callers left while endpoints worked on them, a moment ago.
+    /// Requests whose callers disconnected recently while an endpoint worked on them.
     pub(crate) abandoned: Vec<Loss>,
-    /// Requests under which endpoints crash.
+    /// Requests that crash endpoints.
     pub(crate) quarantine: Quarantine,
     pub(crate) next_crash_update: Instant,
     pub(crate) limits: Limits,
     /// When the process started.
     pub(crate) started: Instant,
-    /// Keyed requests that ended lately.
+    /// Outcomes of requests with a key that ended recently.
     pub(crate) ended_claims: BTreeMap<RequestId, EndedClaim>,
-    /// Retries left, in hundredths.
+    /// Budget for second and later attempts, in hundredths of an attempt.
     pub(crate) retry_budget: u32,
     pub(crate) counters: Counters,
     next_poll: Instant,
     next_maintenance: Instant,
-    /// Polls since a configuration came into force, up to the end of the sweeps.
+    /// Polls since a configuration became active, counted up to the last sweep.
     pub(crate) polls: u32,
     next_fetch: Instant,
     next_confirm: Instant,
-    /// When the last request of a planned stop ended.
+    /// When the last request ended during a graceful shutdown.
     drained_at: Option<Instant>,
     stopped: bool,
     /// Time of the last event.
     last_event: Instant,
-    /// When the process last woke from a freeze.
+    /// When the process last resumed running after a freeze.
     pub(crate) freeze_ended: Option<Instant>,
 }
 
@@ -153,7 +155,7 @@
     /// Longest time between two [`Event::Tick`].
     pub const TICK: Duration = Duration::from_millis(50);
 
-    /// Starts with nothing: no configuration, no list, no requests.
+    /// Creates an instance without configuration, list and requests.
     pub fn new(now: Instant, identity: Identity, seed: u64) -> Self {
         let id = identity.id();
         let horizon = Duration::from_secs(Policy::default().horizon_s);
@@ -198,14 +200,14 @@
         }
     }
 
-    /// Sets how endpoints are chosen, for measurements against plain ways.
+    /// Sets how endpoints are chosen; used to compare placements.
     #[must_use]
     pub fn with_placement(mut self, placement: Placement) -> Self {
         self.endpoints.set_placement(placement);
         self
     }
 
-    /// Takes in an event and appends what is to be done about it, in order.
+    /// Processes an event and appends the resulting effects, in order.
     ///
     /// `now` must not go back between calls.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Effect>) {
@@ -213,7 +215,8 @@
             self.freeze_ended = Some(now);
         }
         self.last_event = now;
-        // First of all, so that a process that wakes from a freeze acts on nothing that has expired meanwhile.
+        // Expired requests are refused first, so that a process that resumes running after a freeze does not
+        // act on them.
         self.expire_requests(now, out);
         match event {
             Event::Arrived { ticket, work } => self.arrived(now, ticket, work, out),
@@ -250,7 +253,7 @@
         }
     }
 
-    /// What an operator sees.
+    /// State for operators.
     pub fn view(&self, now: Instant) -> InstanceView {
         InstanceView {
             version: self.versions.number(),
@@ -267,7 +270,7 @@
         }
     }
 
-    /// Requests that wait here or, for owned pools, at this owner.
+    /// Requests that wait in the queues here, and those that wait here as the owner of their pool.
     fn waiting(&self) -> BTreeMap<String, usize> {
         let mut waiting: BTreeMap<String, usize> =
             self.queues.iter().map(|(pool, q)| (pool.clone(), q.len())).collect();
@@ -279,7 +282,7 @@
         waiting
     }
 
-    /// Name of a listed instance, or its id.
+    /// Name of a listed instance, or its id in hexadecimal digits.
     pub fn name(&self, id: InstanceId) -> String {
         if id == self.identity.id() {
             return self.identity.name.clone();
@@ -287,7 +290,7 @@
         self.members.get(id).map_or_else(|| format!("{:016x}", id.0), |m| m.name.to_string())
     }
 
-    /// Model names of the configuration in force.
+    /// Model names of the active configuration.
     pub fn models(&self) -> Vec<String> {
         let models = self.versions.current().map(|c| c.models.as_slice()).unwrap_or_default();
         models.iter().map(|m| m.name.clone()).collect()
@@ -329,8 +332,8 @@
         let policy = &configuration.policy;
         self.homes.set_policy(Duration::from_secs(policy.horizon_s), Duration::from_millis(policy.skew_ms));
         out.push(Effect::Audit(Audit::Accepted { version: configuration.version, source }));
-        // Neighbours are told at once, so that a version crosses the fleet in hops of milliseconds and also
-        // reaches those that cannot read the platform.
+        // Neighbours learn of the version at once. It spreads to all instances within milliseconds per hop,
+        // also to those that cannot reach the platform.
         self.send_heartbeat_to_neighbours(now, out);
         self.refuse_unservable(now, out);
         self.start_all_queued(now, out);
@@ -358,10 +361,10 @@
 
     fn message_received(&mut self, now: Instant, from: InstanceId, message: Message, out: &mut Vec<Effect>) {
         match message {
-            Message::Heartbeat(beat) => {
-                self.heartbeat_received(now, from, &beat, out);
+            Message::Heartbeat(heartbeat) => {
+                self.heartbeat_received(now, from, &heartbeat, out);
                 let reply = self.members.heartbeat(now, self.versions.number());
-                self.deliver(now, from, Message::Echo { stamp: beat.stamp, beat: reply }, out);
+                self.deliver(now, from, Message::Echo { stamp: heartbeat.stamp, beat: reply }, out);
             }
             Message::Echo { stamp, beat } => {
                 self.heartbeat_received(now, from, &beat, out);
@@ -421,7 +424,7 @@
         }
     }
 
-    /// Sends a message to a member; one to this instance itself is taken in at once.
+    /// Sends a message to a member; a message to this instance itself is processed at once.
     pub(crate) fn deliver(&mut self, now: Instant, to: InstanceId, message: Message, out: &mut Vec<Effect>) {
         if to == self.identity.id() {
             return self.message_received(now, to, message, out);
@@ -435,21 +438,23 @@
         &mut self,
         now: Instant,
         from: InstanceId,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         out: &mut Vec<Effect>,
     ) {
         let mut changes = Vec::new();
-        let known = self.members.get(from).is_some_and(|member| member.incarnation == beat.incarnation);
-        changes.extend(self.members.receive_heartbeat(now, from, beat));
+        let known = self.members.get(from).is_some_and(|member| member.incarnation == heartbeat.incarnation);
+        changes.extend(self.members.receive_heartbeat(now, from, heartbeat));
         if !known && let Some(update) = self.crash_update(now, true) {
-            // A start that knows nothing is not to find out by itself.
+            // A new incarnation knows no crashes. Without this update, requests in quarantine would crash
+            // endpoints again before it refuses them.
             self.deliver(now, from, update, out);
         }
-        for &rumour in &beat.updates {
-            changes.extend(self.members.merge_update(now, rumour));
+        for &update in &heartbeat.updates {
+            changes.extend(self.members.merge_update(now, update));
         }
         audit_health(changes, out);
-        let behind = beat.version > self.versions.number() || beat.revision > self.members.revision();
+        let behind =
+            heartbeat.version > self.versions.number() || heartbeat.revision > self.members.revision();
         if behind && now >= self.next_fetch {
             self.next_fetch = now + FETCH_INTERVAL;
             let message = self.fetch_message();
@@ -457,7 +462,8 @@
         }
     }
 
-    /// Sends what is newer here, also to an instance that the list in use does not have yet.
+    /// Sends the configuration and the list if they are newer here, also to an instance that the current list
+    /// does not contain yet.
     fn fetch_received(
         &mut self,
         from: InstanceId,
@@ -480,7 +486,7 @@
         }
     }
 
-    /// A question for whatever a peer has that is newer.
+    /// Message that asks a peer for a newer configuration and list.
     pub fn fetch_message(&self) -> Message {
         Message::Fetch {
             version: self.versions.number(),
@@ -499,9 +505,9 @@
         if targets.is_empty() {
             return;
         }
-        let beat = self.members.heartbeat(now, self.versions.number());
+        let heartbeat = self.members.heartbeat(now, self.versions.number());
         for to in targets {
-            self.deliver(now, to, Message::Heartbeat(beat.clone()), out);
+            self.deliver(now, to, Message::Heartbeat(heartbeat.clone()), out);
         }
     }
 
@@ -552,7 +558,7 @@
         let targets = self.members.due_heartbeats(now);
         self.send_heartbeats(now, targets, out);
         if now >= self.next_maintenance {
-            // Once in a while only: these look at every member and endpoint, and there may be hundreds.
+            // Not at every tick: the reviews visit every member and endpoint, and there may be hundreds.
             self.next_maintenance = now + MAINTENANCE_INTERVAL;
             audit_health(self.members.update_health(now), out);
             self.members.expire(now, self.homes.retention());
@@ -575,15 +581,16 @@
         self.finish_shutdown(now, out);
     }
 
-    /// Asks members for their revision while a claim waits for the tenure that their answers give.
+    /// Asks members for their list revision while a claim waits for the grant lease, which their answers can
+    /// establish.
     fn confirm_list(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if now < self.next_confirm || !self.homes.needs_list_confirmation(now, &self.members) {
             return;
         }
         self.next_confirm = now + CONFIRM_INTERVAL;
         let since = now.checked_sub(crate::homes::GRANT_LEASE / 2).unwrap_or(now);
-        let silent = self.members.unresponsive_since(since);
-        self.send_heartbeats(now, silent, out);
+        let unresponsive = self.members.unresponsive_since(since);
+        self.send_heartbeats(now, unresponsive, out);
     }
 
     fn poll_engines(&mut self, now: Instant, out: &mut Vec<Effect>) {
@@ -591,7 +598,7 @@
             return;
         }
         self.next_poll = now + LOAD_POLL_INTERVAL;
-        // Asked once for each pool: finding an owner costs a hash for every member.
+        // Evaluated once per pool, because finding the owner hashes every member.
         let sweep = self.sweep_due();
         let wanted: BTreeSet<&str> = self
             .pools
@@ -603,7 +610,7 @@
         out.extend(engines.into_iter().map(|target| Effect::Poll { target }));
     }
 
-    /// Ends a planned stop once nothing of a caller is left here.
+    /// Ends a graceful shutdown when no request is left.
     fn finish_shutdown(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if !self.members.stopping || self.stopped || self.requests.len() > 0 {
             return;
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,14 +1,16 @@
-//! Membership: the platform's list of instances, and which of them are alive.
+//! Membership: the platform's list of instances and the health of each listed instance.
 //!
-//! The list says who belongs to the fleet; it lags. Heartbeats say who is alive; they are sent over a sparse
-//! overlay, because at 380 instances a full mesh costs each of them more than its 4 KB a second. Within its
-//! failure domain an instance beats to the members at distance 1, 2, 4, … on a ring ordered by id, so that
-//! news crosses a domain in `log2 n` hops. To every other domain it beats to the members of its own rank, so
-//! that every member of every domain is watched from every other domain, also when two are cut apart.
+//! The list states which instances belong to the deployment; it lags. Heartbeats show which instances are
+//! alive. They are sent over a sparse overlay, because at 380 instances a full mesh would cost each instance
+//! more than its budget of 4 KB per second. Within its failure domain, an instance sends heartbeats to the
+//! members at distance 1, 2, 4, … on a ring ordered by id, so that gossip crosses a domain in `log2 n` hops.
+//! In every other domain, it sends heartbeats to the members of its own rank, so that every member is
+//! monitored from every other domain, also during a network partition between two of them.
 //!
-//! A member that misses [`MISSED_HEARTBEATS_MAX`] beats is suspected, and the suspicion spreads as a rumour. The suspect
-//! refutes it by a higher epoch; if it does not within [`SUSPICION_TIMEOUT`], it is held for dead. Health only ever
-//! guides choices (whom to ask, whose leftovers to clear); nothing that must hold at all times rests on it.
+//! A member that misses [`MISSED_HEARTBEATS_MAX`] heartbeats is suspected, and gossip spreads the suspicion.
+//! The suspect refutes it with a higher epoch. A suspect that does not do so within [`SUSPICION_TIMEOUT`] is
+//! considered dead. Health only guides choices, such as which instance to ask and whose orphans to cancel; no
+//! invariant depends on it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -26,21 +28,21 @@
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Heartbeats without an echo before a neighbour is suspected.
 const MISSED_HEARTBEATS_MAX: u32 = 3;
-/// How long a suspect has to refute.
+/// Time that a suspect has to refute the suspicion.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Rumours in one heartbeat.
+/// Maximum number of health updates in one heartbeat.
 const UPDATES_PER_HEARTBEAT: usize = 8;
 
-/// What is held of an instance's health.
+/// Health of an instance as observed here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Listed, and nothing heard of it yet.
+    /// Listed, and no message received yet.
     Unknown,
-    /// Seen alive, directly or by a rumour.
+    /// Reported alive, by its own heartbeat or by an update.
     Alive,
-    /// Missed heartbeats since then, or said to.
+    /// Missed heartbeats, or suspected by a peer, since this time.
     Suspect(Instant),
-    /// Did not refute; held for dead since then.
+    /// Did not refute the suspicion; considered dead since this time.
     Dead(Instant),
 }
 
@@ -56,18 +58,18 @@
     }
 }
 
-/// A member as an operator sees it.
+/// State of a member for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberView {
     /// Name.
     pub name: String,
     /// Failure domain.
     pub domain: String,
-    /// Health as held here.
+    /// Health as observed here.
     pub health: Health,
-    /// Configuration version that it last told of, 0 if it never did.
+    /// Configuration version that it reported last, 0 for none.
     pub version: u64,
-    /// Whether the list or the member itself says that it leaves.
+    /// Whether the list or the member itself states that it is leaving.
     pub leaving: bool,
 }
 
@@ -83,32 +85,34 @@
     epoch: u32,
     pub(crate) version: u64,
     pub(crate) revision: u64,
-    /// When it was last heard directly.
+    /// When its last heartbeat or echo was received.
     pub(crate) last_received: Option<Instant>,
-    /// When the heartbeat was sent whose echo told `revision`. Unlike `last_received` it does not move when a process
-    /// wakes from a freeze and finds old echoes in its socket buffers.
+    /// When the last heartbeat was sent that the member echoed, and in whose echo it reported `revision`. In
+    /// contrast to `last_received`, this time does not advance when a process resumes running after a freeze
+    /// and reads old echoes from its socket buffers.
     last_echoed: Option<Instant>,
     unanswered: u32,
 }
 
-/// What is kept of an instance that the list has no more.
+/// What is kept of an instance that was removed from the list.
 #[derive(Debug, Clone, Copy)]
 struct RemovedMember {
-    /// Last sign of life: a heartbeat or the list itself.
+    /// Last heartbeat, or the time at which the list still contained the instance.
     last_seen: Instant,
-    /// Its last known start. An instance that is listed again under this name and has started since is news to
-    /// everybody, because engines may hold work of its former life that only this tells from live work.
+    /// Its latest known incarnation. If the instance is listed again under this name and has restarted since,
+    /// gossip must spread the new incarnation, because only it distinguishes the work that engines hold for
+    /// the previous incarnation from live work.
     incarnation: u64,
 }
 
-/// A list that was in use before, for those who ask who had a key then.
+/// A previous list, kept to find out which instances were homes of a key by it.
 #[derive(Debug)]
 pub(crate) struct PreviousList {
     pub(crate) homes: Vec<InstanceId>,
     pub(crate) replaced_at: Instant,
 }
 
-/// All members, as one instance sees them.
+/// All members, as observed by one instance.
 #[derive(Debug)]
 pub(crate) struct Members {
     me: InstanceId,
@@ -117,13 +121,14 @@
     incarnation: u64,
     epoch: u32,
     pub(crate) list: Option<InstanceList>,
-    /// The earliest use of that list, by any member, that is known here.
+    /// The earliest known use of the current list by any member.
     list_used_since: Option<Instant>,
-    /// The earliest known use of a list since which all lists have been in use here, if that is not the one in use.
+    /// The earliest known use of a previous list since which all lists have been in use here. `None` if that
+    /// list is the current one.
     lists_known_since: Option<Instant>,
     pub(crate) previous_lists: VecDeque<PreviousList>,
     others: BTreeMap<InstanceId, Member>,
-    /// Instances that the list had once.
+    /// Instances that were listed before.
     removed: BTreeMap<InstanceId, RemovedMember>,
     neighbours: Vec<InstanceId>,
     updates: BTreeMap<InstanceId, (HealthUpdate, u32)>,
@@ -158,17 +163,18 @@
         }
     }
 
-    /// Revision of the list in use, 0 for none.
+    /// Revision of the current list, 0 for none.
     pub(crate) fn revision(&self) -> u64 {
         self.list.as_ref().map_or(0, |l| l.revision)
     }
 
-    /// Takes a list in if it is newer than the one in use.
+    /// Replaces the current list if `list` is newer.
     pub(crate) fn accept(&mut self, now: Instant, list: InstanceList) -> bool {
         if list.revision <= self.revision() {
             return false;
         }
-        // A list that has this instance at another address may mean another process, whose grants are not known here.
+        // A list that has this instance at another address may mean another process, whose grants are not
+        // known here.
         let missed = list.revision != self.revision() + 1;
         self.lists_known_since =
             if missed || self.listed_at_other_address() { None } else { self.lists_known_since() };
@@ -203,12 +209,13 @@
         true
     }
 
-    /// Whether this start has used a list that left it out. Until then the list may name a former start.
+    /// Whether this incarnation has used a list that did not contain this instance. Before that, the list may
+    /// refer to a previous incarnation.
     pub(crate) fn was_unlisted(&self) -> bool {
         self.was_unlisted
     }
 
-    /// This instance by the list in use.
+    /// Entry of this instance in the current list.
     fn own_entry(&self) -> Option<&InstanceEntry> {
         self.list.as_ref()?.instances.iter().find(|entry| InstanceId::of(&entry.name) == self.me)
     }
@@ -217,29 +224,32 @@
         self.own_entry().is_some_and(|entry| entry.peers != self.address)
     }
 
-    /// Whether a list has named this instance at its own address, on which no other process can listen meanwhile.
+    /// Whether a list has named this instance at its own address, on which no other process can listen at the
+    /// same time.
     pub(crate) fn listed_at_own_address(&self) -> bool {
         self.listed_at_own_address
     }
 
-    /// A time from which on every list that was in use anywhere was also in use here, or None before the first.
+    /// A time since which every list that was in use anywhere was also in use here. `None` before the first
+    /// list.
     pub(crate) fn lists_known_since(&self) -> Option<Instant> {
         self.lists_known_since.into_iter().chain(self.list_used_since).min()
     }
 
-    /// The latest start of an instance that is known here, in milliseconds since the Unix epoch, or 0.
+    /// Latest known incarnation of an instance, in milliseconds since the Unix epoch, or 0.
     pub(crate) fn latest_incarnation(&self, id: InstanceId) -> u64 {
         let listed = self.others.get(&id).map(|m| m.incarnation);
         let removed = self.removed.get(&id).map(|d| d.incarnation);
         listed.max(removed).unwrap_or(0)
     }
 
-    /// How long an instance that the list once had has given no sign of life.
+    /// Time since the last heartbeat of an instance that was removed from the list.
     pub(crate) fn removed_for(&self, now: Instant, id: InstanceId) -> Option<Duration> {
         self.removed.get(&id).map(|d| now.duration_since(d.last_seen))
     }
 
-    /// Drops former lists that no key can reach back to, and instances that left longer ago than that.
+    /// Removes previous lists and removed instances that are older than `horizon`, so that no key can depend
+    /// on them.
     pub(crate) fn expire(&mut self, now: Instant, horizon: Duration) {
         self.removed.retain(|_, d| now.duration_since(d.last_seen) <= horizon);
         while self.previous_lists.front().is_some_and(|f| now.duration_since(f.replaced_at) > horizon) {
@@ -251,7 +261,7 @@
         self.others.get(&id)
     }
 
-    /// Failure domain of a member, or of this instance.
+    /// Failure domain of a member or of this instance.
     pub(crate) fn domain_of(&self, id: InstanceId) -> &str {
         self.others.get(&id).map_or(&self.domain, |m| &m.domain)
     }
@@ -260,7 +270,7 @@
         self.others.iter().map(|(&id, m)| (id, m))
     }
 
-    /// Instances that can be home of a key by the list in use: those that are not leaving.
+    /// Instances that can be the home of a key by the current list: those that are not leaving.
     fn homes(&self) -> Vec<InstanceId> {
         let Some(list) = &self.list else {
             return Vec::new();
@@ -268,37 +278,39 @@
         list.instances.iter().filter(|i| !i.leaving).map(|i| InstanceId::of(&i.name)).collect()
     }
 
-    /// Home of a key by the list in use.
+    /// Home of a key by the current list.
     pub(crate) fn home(&self, key: IdempotencyKey) -> Option<InstanceId> {
         highest_ranked(key, &self.homes())
     }
 
-    /// Home of a key by the list in use if this instance were not in it.
+    /// Home of a key by the current list if that list did not contain this instance.
     pub(crate) fn runner_up(&self, key: IdempotencyKey) -> Option<InstanceId> {
         let mut homes = self.homes();
         homes.retain(|&i| i != self.me);
         highest_ranked(key, &homes)
     }
 
-    /// Who is asked of a key's homes by lists that were never in use here: a member of another failure domain, where there is
-    /// one. A cut keeps lists from all members of a domain alike.
+    /// Instance that is asked for the homes of a key by lists that were never in use here: a member of
+    /// another failure domain, if there is one. A network partition keeps lists from all members of a domain
+    /// alike.
     pub(crate) fn witness(&self, key: IdempotencyKey) -> Option<InstanceId> {
         let mut homes = self.homes();
         homes.retain(|&i| self.domain_of(i) != self.domain);
         highest_ranked(key, &homes).or_else(|| self.runner_up(key))
     }
 
-    /// Instances that to this one's knowledge may have been home of a key before the list in use,
-    /// with the time at which each lost its place for good.
+    /// Instances that, as far as known here, may have been the home of a key before the current list, each
+    /// with the time at which a list without it as home replaced its last one.
     pub(crate) fn previous_homes(&self, key: IdempotencyKey) -> BTreeMap<InstanceId, Instant> {
-        // Lists are in order of time, so the last place of a home is the one that stays.
+        // Lists are ordered by time, so the last time of each home is kept.
         self.previous_lists
             .iter()
             .filter_map(|f| highest_ranked(key, &f.homes).map(|home| (home, f.replaced_at)))
             .collect()
     }
 
-    /// Owner of a pool's slots: of the members that live and stay, by this instance's view.
+    /// Owner of a pool's slots: chosen among the members that are not suspected and not leaving, as observed
+    /// here.
     pub(crate) fn owner(&self, pool: PoolId) -> InstanceId {
         let stays = |m: &Member| !m.leaving && matches!(m.health, Health::Alive | Health::Unknown);
         let others = self.others.iter().filter(|(_, m)| stays(m)).map(|(&id, _)| id);
@@ -307,7 +319,7 @@
         highest.unwrap_or(self.me)
     }
 
-    /// Whether at least half of the others were heard at the list in use or a later one.
+    /// Whether at least half of the other members have reported the current list or a later one.
     pub(crate) fn half_confirmed_list(&self) -> bool {
         let revision = self.revision();
         let current =
@@ -315,7 +327,8 @@
         revision > 0 && current * 2 >= self.others.len()
     }
 
-    /// Whether every other member was heard at exactly the list in use since `since`.
+    /// Whether every other member has echoed a heartbeat sent since `since` and reported exactly the current
+    /// list.
     pub(crate) fn all_confirmed_list(&self, since: Instant) -> bool {
         let revision = self.revision();
         revision > 0
@@ -325,7 +338,7 @@
                 .all(|m| m.revision == revision && m.last_echoed.is_some_and(|e| e >= since))
     }
 
-    /// Neighbours on the overlay; see the head of the module.
+    /// Neighbours in the overlay; see the documentation of the module.
     fn overlay_neighbours(&self) -> Vec<InstanceId> {
         let Some(list) = &self.list else {
             return Vec::new();
@@ -355,12 +368,13 @@
         neighbours
     }
 
-    /// Neighbours to beat to now; counts beats that went unanswered.
+    /// Neighbours to send a heartbeat to now. Each heartbeat counts as unanswered until its echo.
     pub(crate) fn due_heartbeats(&mut self, now: Instant) -> Vec<InstanceId> {
         if now < self.next_heartbeat {
             return Vec::new();
         }
-        // After a freeze the lost beats are not made up for: a burst would look like load, not like life.
+        // Heartbeats missed during a freeze are not sent later: a burst would add load and show nothing about
+        // health.
         self.next_heartbeat = (self.next_heartbeat + HEARTBEAT_INTERVAL).max(now + HEARTBEAT_INTERVAL / 2);
         let mut targets = Vec::with_capacity(self.neighbours.len());
         for id in &self.neighbours {
@@ -373,7 +387,8 @@
         targets
     }
 
-    /// Moves suspects on; returns members whose health changed.
+    /// Marks unresponsive members as suspected and expired suspects as dead. Returns the members whose health
+    /// changed.
     pub(crate) fn update_health(&mut self, now: Instant) -> Vec<(InstanceId, Health)> {
         let mut changed = Vec::new();
         for (&id, member) in &mut self.others {
@@ -392,14 +407,14 @@
         changed
     }
 
-    /// What this instance says of itself now, with the rumours that have been told least.
+    /// State of this instance, with the pending updates that have been sent least often.
     pub(crate) fn heartbeat(&mut self, now: Instant, version: u64) -> Heartbeat {
         let limit = 3 * (self.others.len() + 2).ilog2();
-        let mut fresh: Vec<InstanceId> = self.updates.keys().copied().collect();
-        fresh.sort_by_key(|id| self.updates[id].1);
-        fresh.truncate(UPDATES_PER_HEARTBEAT);
-        let mut updates = Vec::with_capacity(fresh.len());
-        for id in fresh {
+        let mut least_sent: Vec<InstanceId> = self.updates.keys().copied().collect();
+        least_sent.sort_by_key(|id| self.updates[id].1);
+        least_sent.truncate(UPDATES_PER_HEARTBEAT);
+        let mut updates = Vec::with_capacity(least_sent.len());
+        for id in least_sent {
             let Some((update, sent_count)) = self.updates.get_mut(&id) else {
                 continue;
             };
@@ -421,35 +436,36 @@
         }
     }
 
-    /// Takes in what a member says of itself; returns a change of its health.
+    /// Merges the state that a member reports of itself. Returns a change of its health.
     pub(crate) fn receive_heartbeat(
         &mut self,
         now: Instant,
         from: InstanceId,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> Option<(InstanceId, Health)> {
         if let Some(removed) = self.removed.get_mut(&from) {
             removed.last_seen = now;
         }
         if self.others.contains_key(&from) {
-            self.update_list_age(now, beat);
+            self.update_list_age(now, heartbeat);
         }
         let member = self.others.get_mut(&from)?;
-        if (beat.incarnation, beat.epoch) < (member.incarnation, member.epoch) {
-            // A beat of a process that has been replaced, delayed on the way.
+        if (heartbeat.incarnation, heartbeat.epoch) < (member.incarnation, member.epoch) {
+            // A delayed heartbeat of a previous incarnation.
             return None;
         }
-        // The first word of a member is no news: everybody has it from the list. At the start of a large fleet
-        // such rumours would take a minute's bandwidth.
+        // The first heartbeat of a member is not gossiped, because all instances know the member from the
+        // list. At the start of a deployment with many instances, such updates would take up a minute's
+        // bandwidth.
         let known = member.incarnation != 0;
-        let changed = known && (beat.incarnation > member.incarnation || beat.epoch > member.epoch);
-        member.incarnation = beat.incarnation;
-        member.epoch = beat.epoch;
-        member.version = beat.version;
-        member.revision = beat.revision;
+        let changed = known && (heartbeat.incarnation > member.incarnation || heartbeat.epoch > member.epoch);
+        member.incarnation = heartbeat.incarnation;
+        member.epoch = heartbeat.epoch;
+        member.version = heartbeat.version;
+        member.revision = heartbeat.revision;
         member.last_received = Some(now);
         member.unanswered = 0;
-        member.leaving |= beat.stopping;
+        member.leaving |= heartbeat.stopping;
         let before = std::mem::replace(&mut member.health, Health::Alive);
         if changed {
             self.updates.insert(from, (member.health_update(from, false), 0));
@@ -457,17 +473,22 @@
         (before != Health::Alive).then_some((from, Health::Alive))
     }
 
-    /// A member tells for how long it knows its list to be in use. The way here only makes that look shorter.
-    fn update_list_age(&mut self, now: Instant, beat: &Heartbeat) {
-        if beat.revision != self.revision() {
+    /// Merges the time for which a member knows its list to be in use. Network latency only makes that time
+    /// appear shorter.
+    fn update_list_age(&mut self, now: Instant, heartbeat: &Heartbeat) {
+        if heartbeat.revision != self.revision() {
             return;
         }
-        let used = now.checked_sub(Duration::from_millis(beat.listed_ms));
-        self.list_used_since =
-            self.list_used_since.zip(used).map(|(known, told)| known.min(told)).or(self.list_used_since);
+        let used = now.checked_sub(Duration::from_millis(heartbeat.listed_ms));
+        self.list_used_since = self
+            .list_used_since
+            .zip(used)
+            .map(|(known, reported)| known.min(reported))
+            .or(self.list_used_since);
     }
 
-    /// A request or a try names the start of its owner: of the same instance, an earlier start has ended.
+    /// A request or an attempt names the incarnation of its owner; earlier incarnations of the same instance
+    /// have ended.
     pub(crate) fn observe_incarnation(&mut self, id: InstanceId, incarnation: u64) {
         if let Some(member) = self.others.get_mut(&id)
             && incarnation > member.incarnation
@@ -477,7 +498,7 @@
         }
     }
 
-    /// Takes in the echo of a heartbeat that bore `stamp`.
+    /// Records the echo of the heartbeat with this `stamp`.
     pub(crate) fn receive_echo(&mut self, from: InstanceId, stamp: u64) {
         let sent = self.started + Duration::from_millis(stamp);
         if let Some(member) = self.others.get_mut(&from) {
@@ -489,13 +510,13 @@
         &self.neighbours
     }
 
-    /// Members that have not echoed since `since`.
+    /// Members that have not echoed a heartbeat sent since `since`.
     pub(crate) fn unresponsive_since(&self, since: Instant) -> Vec<InstanceId> {
         let unresponsive = self.others.iter().filter(|(_, m)| m.last_echoed.is_none_or(|e| e < since));
         unresponsive.map(|(&id, _)| id).collect()
     }
 
-    /// Takes in a rumour; returns a change of health.
+    /// Merges a health update from a peer. Returns a change of health.
     pub(crate) fn merge_update(
         &mut self,
         now: Instant,
@@ -514,7 +535,7 @@
         if update.suspect && matches!(member.health, Health::Suspect(_) | Health::Dead(_)) {
             return None;
         }
-        // Whoever hears the member itself knows better than a rumour.
+        // A recent heartbeat of the member itself takes precedence over an update.
         let direct = member.last_received.is_some_and(|h| now.duration_since(h) < 2 * HEARTBEAT_INTERVAL);
         if update.suspect && direct {
             return None;
@@ -529,7 +550,8 @@
         (before != health).then_some((update.instance, health))
     }
 
-    /// Answers a suspicion of this instance with a higher epoch, which overrides it everywhere.
+    /// Refutes a suspicion of this instance with a higher epoch, which overrides the suspicion at all
+    /// instances.
     fn refute(&mut self, update: HealthUpdate) {
         if update.suspect && update.incarnation == self.incarnation && update.epoch >= self.epoch {
             self.epoch = update.epoch + 1;
@@ -571,7 +593,7 @@
     }
 }
 
-/// Rendezvous hashing: the candidate with the highest hash of itself and the key.
+/// Rendezvous hashing: the candidate with the highest hash of its id and the key.
 fn highest_ranked(key: IdempotencyKey, candidates: &[InstanceId]) -> Option<InstanceId> {
     let bytes = key.0.to_le_bytes();
     candidates.iter().copied().max_by_key(|i| (xxh3_64_with_seed(&bytes, i.0), *i))
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -13,98 +13,101 @@
 /// A message from one instance to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// I am here.
+    /// State of the sender, sent periodically.
     Heartbeat(Heartbeat),
-    /// So am I; an answer to a heartbeat.
+    /// Response to a heartbeat.
     Echo {
-        /// The heartbeat's stamp, given back.
+        /// Stamp of the heartbeat that is answered.
         stamp: u64,
-        /// What the sender says of itself.
+        /// State of the sender.
         beat: Heartbeat,
     },
-    /// Send me what you have that is newer than this.
+    /// Requests the configuration and the list if they are newer than those of the sender.
     Fetch {
-        /// My configuration version, 0 for none.
+        /// Configuration version of the sender, 0 for none.
         version: u64,
-        /// My list revision, 0 for none.
+        /// List revision of the sender, 0 for none.
         revision: u64,
-        /// My name, for one whose list does not have me yet.
+        /// Name of the sender, for a receiver whose list does not contain it yet.
         name: String,
-        /// My address for peers.
+        /// Address of the sender for peers.
         address: SocketAddr,
     },
-    /// The configuration in force here.
+    /// The sender's active configuration.
     Configuration {
-        /// Its JSON text.
+        /// JSON text of the configuration.
         text: String,
     },
-    /// The list of instances in use here.
+    /// The sender's current list of instances.
     List(InstanceList),
-    /// May I run the request with this idempotency key?
+    /// Asks the home of an idempotency key to grant the key to a request.
     Claim {
         /// The key.
         key: IdempotencyKey,
-        /// The request that asks.
+        /// The claiming request.
         request: RequestId,
-        /// The list revision by which you are the key's home.
+        /// List revision by which the receiver is the home of the key.
         revision: u64,
-        /// When the key was made, in milliseconds since the Unix epoch, if it tells.
+        /// Creation time of the key in milliseconds since the Unix epoch, if the key carries it.
         born: Option<u64>,
     },
     /// The home's answer to a claim.
     Claimed {
         /// The key.
         key: IdempotencyKey,
-        /// The request that asked.
+        /// The claiming request.
         request: RequestId,
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// What became of a granted claim.
+    /// Reports the outcome of a granted request to the home.
     Settle {
         /// The key.
         key: IdempotencyKey,
-        /// The request that held the claim.
+        /// The request that holds the grant.
         request: RequestId,
-        /// What became of it.
+        /// Outcome of the request.
         #[serde(rename = "fate")]
         outcome: ClaimOutcome,
     },
-    /// Have you ever granted this key? Answering at this revision also gives up every older claim to it.
+    /// Asks whether the receiver has ever granted a key. By answering at this revision, the receiver gives up
+    /// all earlier rights to grant the key.
     Inquire {
         /// The key.
         key: IdempotencyKey,
-        /// List revision by which the asker is the key's home.
+        /// List revision by which the sender is the home of the key.
         revision: u64,
-        /// When the key was made, in milliseconds since the Unix epoch, if it tells.
+        /// Creation time of the key in milliseconds since the Unix epoch, if the key carries it.
         born: Option<u64>,
     },
-    /// Answer to an inquiry.
+    /// Reply to an inquiry.
     Inquired {
         /// The key.
         key: IdempotencyKey,
-        /// List revision of the one that answers; lower than asked means that it cannot answer yet.
+        /// List revision of the sender. A revision lower than that of the inquiry means that the sender
+        /// cannot answer yet.
         revision: u64,
-        /// The grant on record.
+        /// The sender's record of the key.
         record: Option<KeyRecord>,
-        /// Whether this process has run since before the key can have been granted, so that no record means no
-        /// grant of its own. An instance that was started again remembers nothing of its former life.
+        /// Whether the sender's process has run since before the key can have been granted, so that a missing
+        /// record means that the sender has not granted the key. A restarted instance does not know the
+        /// grants of its previous incarnation.
         #[serde(rename = "whole")]
         own_grants_known: bool,
         /// Whether the sender knows all lists by which the key can have been granted.
         #[serde(rename = "complete")]
         lists_known: bool,
-        /// Homes of the key by those lists that may have granted it, but for the sender.
+        /// Homes of the key by those lists that may have granted the key, without the sender.
         homes: Vec<InstanceId>,
     },
-    /// May I have a slot pair for a request? Asked of the pool's owner, and asked again without harm.
+    /// Asks the owner of a pool for a slot pair. Repeating the message is harmless.
     Reserve(ReservationRequest),
-    /// The request waits here.
+    /// The request waits in the owner's queue.
     Queued {
         /// The request.
         request: RequestId,
     },
-    /// The request may use these.
+    /// The owner grants a slot pair to the request.
     Reserved {
         /// The pool.
         pool: PoolId,
@@ -115,149 +118,152 @@
         /// Decode engine.
         decode: EndpointId,
     },
-    /// The request would wait too long.
+    /// The owner refuses a reservation because the request would wait too long.
     Declined {
         /// The request.
         request: RequestId,
-        /// How long, in milliseconds.
+        /// Expected wait in milliseconds.
         wait_ms: u32,
     },
-    /// The request does not need these slots any more, or does not wait any more.
+    /// The request releases slots, or does not wait any more.
     Freed {
-        /// Its pool.
+        /// Pool of the request.
         pool: PoolId,
         /// The request.
         request: RequestId,
-        /// Whether the prefill slot is free.
+        /// Whether the prefill slot is released.
         prefill: bool,
-        /// Whether the decode slot is free, and the place in the queue.
+        /// Whether the decode slot is released and the request leaves the queue.
         decode: bool,
     },
-    /// All of my requests of a pool that hold slots; sent to its owner every second.
+    /// Renews the leases of all requests of the sender that hold slots of a pool; sent to the owner every
+    /// second.
     Holding {
         /// The pool.
         pool: PoolId,
-        /// My start, in milliseconds since the Unix epoch.
+        /// Incarnation of the sender, in milliseconds since the Unix epoch.
         incarnation: u64,
-        /// Their numbers.
+        /// Sequence numbers of the requests.
         sequences: Vec<u64>,
     },
-    /// Records of an instance that stops, for the homes that follow it.
+    /// Records of an instance that shuts down, for the instances that become the homes of the keys.
     Handover {
-        /// Start of the sender, in milliseconds since the Unix epoch.
+        /// Incarnation of the sender, in milliseconds since the Unix epoch.
         incarnation: u64,
-        /// Keys and what became of them.
+        /// Keys and their records.
         records: Vec<(IdempotencyKey, KeyRecord)>,
-        /// Whether these are the last.
+        /// Whether this is the last message of the handover.
         last: bool,
     },
-    /// Endpoints crashed under requests.
+    /// Reports crashes of endpoints under requests.
     Crashes {
         /// The crashes.
         crashes: Vec<CrashReport>,
-        /// Requests that were answered whole after endpoints had crashed under them.
+        /// Requests that were completed after endpoints had crashed under them.
         served: Vec<Fingerprint>,
     },
-    /// What teams near their limits were admitted.
+    /// Reports the admitted units of teams near their limits.
     Spending(SpendingReport),
 }
 
-/// What a sender has admitted of teams near their limits.
+/// Units that an instance has admitted for teams near their limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpendingReport {
-    /// Start of the sender, in milliseconds since the Unix epoch.
+    /// Incarnation of the sender, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Grows with each of its tellings.
+    /// Rises with each report of the sender.
     pub sequence: u64,
-    /// Whether the sender is stopping.
+    /// Whether the sender is shutting down gracefully.
     pub stopping: bool,
-    /// The teams.
+    /// Spending by team.
     pub spent: Vec<TeamSpending>,
 }
 
-/// What a request needs of its pool.
+/// A request for a slot pair of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReservationRequest {
     /// The pool.
     pub pool: PoolId,
     /// The request.
     pub request: RequestId,
-    /// 0 is served first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Team, empty for callers without one.
+    /// Team, empty for callers without a team.
     pub team: String,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Milliseconds from now until the first token is late; 0 if it is.
+    /// Milliseconds until a prefill that has not started makes the first token late; 0 if the request is
+    /// late.
     pub first_ms: u32,
-    /// Milliseconds from now until the asker gives up.
+    /// Milliseconds until the requesting instance gives up.
     pub wait_ms: u32,
-    /// Endpoints that failed it.
+    /// Endpoints at which the request has failed.
     pub tried: Vec<EndpointId>,
 }
 
-/// What a home knows of a key.
+/// A home's record of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyRecord {
-    /// Granted, and not settled yet.
+    /// Granted to this request and not settled yet.
     Granted(RequestId),
-    /// Ran; the answer is kept if it was small.
+    /// The request ran; the response is kept if it is small.
     Ran(Option<StoredResponse>),
-    /// May have run: whoever held the claim is gone.
+    /// The request may have run: the process that held the grant has ended.
     Unknown,
 }
 
-/// What became of a request that held a claim.
+/// Outcome of a request that held a grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// It provably did not run, so the key is free again.
+    /// The request provably did not run, so the key can be granted again.
     NotRun,
-    /// It ran; the answer is kept if it was small.
+    /// The request ran; the response is kept if it is small.
     Ran(Option<StoredResponse>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 /// A home's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// Run it; nobody else has and nobody else will.
+    /// The request may run; no other request with this key has run or will run.
     Granted,
     /// Another request with this key is in progress.
     InUse,
-    /// It ran.
+    /// A request with this key ran.
     Ran(Option<StoredResponse>),
-    /// It cannot be told now.
+    /// Whether a request with this key ran is not known now; a later claim may get another answer.
     Unknown,
-    /// It will not be told for as long as the key is good.
+    /// Whether a request with this key ran will not be known for as long as the key is valid.
     Lost,
-    /// The asker and the home use different lists; this is the home's revision.
+    /// The requesting instance and the home use different lists; this is the home's revision.
     Revision(u64),
 }
 
-/// What an instance says of itself, with news of others.
+/// State of an instance, with health updates about others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Sender's monotonic clock in milliseconds, for the echo to give back.
+    /// Sender's monotonic clock in milliseconds; returned in the echo.
     pub stamp: u64,
-    /// Start of the sender, in milliseconds since the Unix epoch.
+    /// Incarnation of the sender, in milliseconds since the Unix epoch.
     pub incarnation: u64,
-    /// How often the sender has refuted its own death in this incarnation.
+    /// Number of suspicions that the sender has refuted in this incarnation.
     pub epoch: u32,
-    /// Configuration version in force.
+    /// Version of the active configuration.
     pub version: u64,
-    /// List revision in use.
+    /// Revision of the current list.
     pub revision: u64,
-    /// For how long that list has been in use anywhere, to the sender's knowledge, in milliseconds.
+    /// How long the current list has been in use by any instance, as far as the sender knows, in
+    /// milliseconds.
     pub listed_ms: u64,
-    /// Whether the sender is stopping.
+    /// Whether the sender is shutting down gracefully.
     pub stopping: bool,
-    /// News of others, newest first, at most eight.
+    /// Health updates about other instances, those sent least often first, at most eight.
     #[serde(rename = "rumours")]
     pub updates: Vec<HealthUpdate>,
 }
 
-/// News of an instance's health.
+/// Gossip about an instance's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthUpdate {
     /// The instance.
@@ -266,6 +272,6 @@
     pub incarnation: u64,
     /// Its epoch.
     pub epoch: u32,
-    /// Whether it is suspected of being dead; otherwise it was seen alive.
+    /// Whether the instance is suspected to be dead; otherwise it was alive.
     pub suspect: bool,
 }
