--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock as an interface, so that time can be real or driven by a test.
+//! Clock abstraction: real time, or time that a test controls.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,10 +7,10 @@
 
 /// A source of monotonic time.
 pub trait Clock: Send + Sync + std::fmt::Debug {
-    /// The time now. A machine that is suspended does not count that time here.
+    /// Current time. It does not advance while the machine is suspended.
     fn now(&self) -> Instant;
 
-    /// Time since the machine started, the time in which it was suspended included.
+    /// Time since the machine started, including suspended time.
     fn uptime(&self) -> Duration;
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A clock that moves only when told to. Clones share the same time.
+/// A clock that advances only by [`ManualClock::advance`]. Clones share the same time.
 #[derive(Debug, Clone)]
 pub struct ManualClock {
     now: Arc<Mutex<Instant>>,
@@ -43,7 +43,7 @@
         Self { now: Arc::new(Mutex::new(start)), start }
     }
 
-    /// Moves the time forward.
+    /// Advances the time.
     pub fn advance(&self, by: Duration) {
         let mut now = self.now.lock().unwrap_or_else(PoisonError::into_inner);
         *now += by;
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,38 +1,38 @@
-//! What an instance counts.
+//! Counters of an instance.
 
 use std::collections::BTreeMap;
 
-/// Counts of one class at one site.
+/// Counters of one class at one site.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Whole answers within both latency targets.
+    /// Complete responses within both latency targets.
     pub good: u64,
     /// Prompt tokens of finished prefills.
     pub prefilled_tokens: u64,
-    /// Prompt tokens of prefills whose result no answer used.
+    /// Prompt tokens of prefills whose result no response used.
     pub wasted_tokens: u64,
 }
 
-/// Counts since the start of the instance. All only grow.
+/// Counters since the start of the instance; they only rise.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests taken from callers.
+    /// Requests received from callers.
     pub arrived: u64,
-    /// Callers that went away before their answer was whole.
+    /// Callers that disconnected before their response was complete.
     pub abandoned: u64,
-    /// Answers repeated for an idempotency key.
+    /// Stored responses sent again for an idempotency key.
     pub replayed: u64,
-    /// Tries after the first.
+    /// Attempts after the first.
     pub retried: u64,
-    /// Streams taken up again on a new connection.
+    /// Streams resumed on a new connection.
     pub resumed: u64,
-    /// Work of dead instances cancelled at engines.
+    /// Attempts of ended instances that were cancelled at engines.
     pub orphans: u64,
     /// Refusals by error code.
     pub refused: BTreeMap<&'static str, u64>,
-    /// By class and site; the site is the decode endpoint's, empty where none was chosen.
+    /// By class and site. The site is that of the decode endpoint, empty if none was chosen.
     pub classes: BTreeMap<(String, String), ClassCounters>,
 }
 
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -1,9 +1,10 @@
-//! Endpoints that go down under requests, as one instance finds out and hears from others.
+//! Detects endpoints that crash under requests, and exchanges crashes with other instances.
 //!
-//! A broken step does not say that the endpoint has crashed: one answer can be lost, and so can connections. The engine is asked
-//! for its load at once; one that does not answer, or takes no connection from the next request, has crashed, and whatever
-//! was lost there counts against the requests, and against those whose callers left it at about that time. What follows
-//! for them is decided by [`Quarantine`](crate::Quarantine).
+//! A broken step does not prove that the endpoint has crashed, because a single response or its connections
+//! can be lost. The engine is polled at once. If it does not answer, or accepts no connection for the next
+//! request, it has crashed. The crash is attributed to the requests that failed there, and to those whose
+//! callers disconnected at about the same time. [`Quarantine`](crate::Quarantine) decides what follows for
+//! these requests.
 
 use std::time::{Duration, Instant};
 
@@ -18,19 +19,20 @@
 use crate::requests::Phase;
 use crate::{EndpointId, Fingerprint, InstanceId};
 
-/// How long after a loss an endpoint that cannot be reached counts as crashed under the lost request. An engine that lives
-/// answers within this, and one that restarts needs longer.
+/// An endpoint that is unreachable within this time after a request failed there counts as crashed under the
+/// request. A running engine answers within this time, and a restarting engine needs longer.
 const LOSS_WINDOW: Duration = Duration::from_secs(2);
-/// How far apart a loss and the moment in which a caller left may be for its request to have been present: an engine stops
-/// within this what was cancelled.
+/// Maximum time between a failed request and a disconnect of another caller for that caller's request to
+/// count as present. An engine stops a cancelled request within this time.
 const PRESENCE_WINDOW: Duration = Duration::from_millis(500);
-/// Time that an endpoint needs at least between two crashes, in milliseconds. Two instances that see the same crash name it by
-/// the same period of this length, but for those that lie on its border.
+/// Minimum time between two crashes of an endpoint, in milliseconds. Instances that observe the same crash
+/// name it by the same period of this length, except for crashes at the border of two periods.
 const RESTART_MIN_MS: u64 = 5_000;
-/// Time between two tellings of what is new; one of them is enough, the others are for messages that were lost.
+/// Time between two updates with recent crashes. One update is sufficient; the repetitions replace lost
+/// messages.
 const CRASH_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A request that an endpoint lost.
+/// A request that failed at an endpoint, or whose caller disconnected.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Loss {
     request: Fingerprint,
@@ -39,7 +41,7 @@
 }
 
 impl Instance {
-    /// An endpoint lost a request, and may have crashed under it.
+    /// Records that a request failed at an endpoint that may have crashed.
     pub(crate) fn request_lost(
         &mut self,
         now: Instant,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The caller of a request that is at an endpoint has left.
+    /// Records that the caller of a request at an endpoint has disconnected.
     pub(crate) fn caller_left(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         let Some(endpoint) = request.phase.endpoint() else { return };
@@ -69,7 +71,7 @@
         self.abandoned.push(loss);
     }
 
-    /// Takes out the requests whose callers left an endpoint at about a time.
+    /// Removes and returns the requests at an endpoint whose callers disconnected at about the time `at`.
     fn take_abandoned(&mut self, at: Instant, endpoint: impl Fn(EndpointId) -> bool) -> Vec<Loss> {
         let apart = |other: Instant| at.max(other).duration_since(at.min(other));
         self.abandoned
@@ -77,13 +79,13 @@
             .collect()
     }
 
-    /// An endpoint answers, so that it has not crashed.
+    /// Records that an endpoint is reachable, so that it has not crashed.
     pub(crate) fn endpoint_reachable(&mut self, endpoint: EndpointId) {
         self.losses.retain(|loss| loss.endpoint != endpoint);
         self.abandoned.retain(|loss| loss.endpoint != endpoint);
     }
 
-    /// An endpoint cannot be reached.
+    /// Records that an endpoint is unreachable.
     pub(crate) fn endpoint_unreachable(&mut self, now: Instant, endpoint: EndpointId, out: &mut Vec<Effect>) {
         let (mut lost, rest): (Vec<_>, Vec<_>) = self.losses.drain(..).partition(|l| l.endpoint == endpoint);
         self.losses = rest;
@@ -93,7 +95,7 @@
         self.attribute_crash(now, lost, out);
     }
 
-    /// Counts a crash against each of these requests.
+    /// Attributes a crash to each of these requests.
     fn attribute_crash(&mut self, now: Instant, lost: Vec<Loss>, out: &mut Vec<Effect>) {
         for Loss { request, endpoint, at } in
             lost.into_iter().filter(|l| now.duration_since(l.at) < LOSS_WINDOW)
@@ -106,14 +108,14 @@
         }
     }
 
-    /// The start of an endpoint that crashed at a time.
+    /// Incarnation of an endpoint that crashed at the time `at`.
     fn incarnation_at(&self, endpoint: EndpointId, at: Instant) -> EndpointIncarnation {
         let uptime_ms = at.saturating_duration_since(self.started).as_millis() as u64;
         let period = (self.identity.incarnation + uptime_ms) / RESTART_MIN_MS;
         EndpointIncarnation(xxh3_64_with_seed(&endpoint.0.to_le_bytes(), period))
     }
 
-    /// A request is in quarantine from now on; those that wait here with the same content are given up at once.
+    /// Refuses the waiting requests with a content that is in quarantine from now on.
     fn refuse_quarantined(&mut self, now: Instant, fingerprint: Fingerprint, out: &mut Vec<Effect>) {
         out.push(Effect::Audit(Audit::Quarantined { request: fingerprint }));
         let waits = |r: &crate::requests::Request| r.phase == Phase::Waiting && r.fingerprint == fingerprint;
@@ -126,16 +128,16 @@
         }
     }
 
-    /// Why a request is not sent to an endpoint, if endpoints crash under it.
+    /// Refusal of a request that is in quarantine.
     pub(crate) fn quarantine_refusal(&self, now: Instant, key: RequestKey) -> Option<Refusal> {
         let request = self.requests.get(key);
         let left = self.quarantine.until(now, request.fingerprint)?.duration_since(now);
-        // What ran may not be called "not run".
+        // A request that may have run must not be refused as "not run".
         let kind = if request.may_have_run() { ErrorKind::EndpointFailed } else { ErrorKind::Quarantined };
         Some(Refusal::retryable(kind, left))
     }
 
-    /// Tells the others what is new, and again for a while.
+    /// Sends recent changes to all members, repeatedly for a while.
     pub(crate) fn send_crashes(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.quarantine.expire(now);
         if now < self.next_crash_update {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// What a member is told that is new, or all that members are told now.
+    /// Message with recent changes, and for a newcomer with all crashes that keep requests in quarantine.
     pub(crate) fn crash_update(&self, now: Instant, newcomer: bool) -> Option<Message> {
         let update = self.quarantine.update(now, newcomer);
         if update.crashes.is_empty() && update.served.is_empty() {
@@ -159,7 +161,7 @@
         Some(Message::Crashes { crashes, served: update.served })
     }
 
-    /// A member tells of crashes, and of requests that were answered whole after such.
+    /// Merges a member's reports of crashes and of completed requests.
     pub(crate) fn merge_crashes(
         &mut self,
         now: Instant,
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,7 +1,8 @@
-//! Endpoints as one instance sees them: what the configuration says, what reports say, what it uses itself.
+//! Endpoints as known to one instance: by the configuration, by load reports and by its own use.
 //!
-//! Own use is exact, use by others is known only from lagging reports. The load that choices are made by is
-//! the sum of both, so that an instance never forgets what it has just sent, whatever the reports say.
+//! The instance's own use is exact; use by other instances is known only from lagging reports. Endpoints are
+//! chosen by the sum of both. The requests that the instance has just sent thus always count, whatever the
+//! reports contain.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,38 +19,39 @@
 use crate::slots::Usage;
 use crate::{EndpointId, InstanceId};
 
-/// Failures in a row after which an endpoint is left alone for a while.
+/// Consecutive failures after which an endpoint is paused.
 const FAILURES_BEFORE_PAUSE: u32 = 2;
-/// Polls in a row without an answer after which an endpoint counts as out of reach.
+/// Consecutive polls without an answer after which an endpoint counts as unreachable.
 const UNANSWERED_POLLS_MAX: u32 = 3;
-/// First pause of an endpoint that failed; doubles up to [`PAUSE_MAX`].
+/// First pause of an endpoint after failures; doubles up to [`PAUSE_MAX`].
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 const PAUSE_MAX: Duration = Duration::from_secs(8);
-/// Loads in thousandths that differ by less than this are taken for equal, and the nearer endpoint is chosen: a
-/// stream inside its failure domain survives every cut between domains.
+/// Loads, in thousandths, that differ by less than this count as equal, and the nearer endpoint is chosen. A
+/// stream within its failure domain survives every network partition between domains.
 const LOAD_TOLERANCE: u32 = 250;
-/// Reports older than this say nothing about others any more.
+/// Reports older than this are ignored.
 const REPORT_AGE_MAX: Duration = Duration::from_secs(5);
 
-/// How an endpoint is chosen among those with room.
+/// How an endpoint is chosen among those with free slots.
 ///
-/// The plain ones are kept to measure against.
+/// All but the first two exist for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Placement {
     /// By the owner of the pool's slots, which sees every reservation.
     #[default]
     Owner,
-    /// The less loaded of two random ones, by own use and reports; also what an asker falls back to.
+    /// The less loaded of two random endpoints, by own use and reports. A requesting instance falls back to
+    /// this placement when the owner is unresponsive.
     TwoChoices,
-    /// Any, full or not.
+    /// A random endpoint, full or not.
     Random,
-    /// Each in turn, full or not.
+    /// Each endpoint in turn, full or not.
     RoundRobin,
-    /// The least loaded by the last reports alone.
+    /// The least loaded endpoint by the last reports alone.
     LeastReported,
 }
 
-/// An endpoint as an operator sees it.
+/// State of an endpoint for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointView {
     /// Name.
@@ -58,17 +60,18 @@
     pub site: String,
     /// Pool.
     pub pool: String,
-    /// What it does.
+    /// Role in its pool.
     pub role: Role,
-    /// Requests of this instance there.
+    /// Requests of this instance at the endpoint.
     pub own: u32,
-    /// Requests of others there, by the last report.
+    /// Requests of other instances at the endpoint, by the last report.
     pub others: u32,
     /// Slots.
     pub slots: u32,
-    /// Whether it gets no new work, for whatever reason the operators or itself gave.
+    /// Whether the endpoint gets no new work, because operators drain or removed it or because it is shutting
+    /// down.
     pub leaving: bool,
-    /// Whether it is left alone after failures.
+    /// Whether the endpoint is paused after failures.
     pub paused: bool,
 }
 
@@ -83,23 +86,23 @@
     pub(crate) pool: String,
     pub(crate) role: Role,
     pub(crate) slots: u32,
-    /// By the configuration, or gone from it.
+    /// The configuration marks the endpoint as draining.
     draining: bool,
-    /// By its own word.
+    /// The endpoint itself states that it is leaving.
     leaving: bool,
-    /// No longer in the configuration; kept while work of this instance runs there.
+    /// The endpoint is not in the configuration any more; kept while work of this instance runs there.
     removed: bool,
     own: u32,
     others: u32,
-    /// Requests that the last report named and that the owner of the pool does not account for.
+    /// Requests in the last report that the owner of the pool does not account for.
     unaccounted: u32,
-    /// All that the last report named, own work included.
+    /// All requests in the last report, own requests included.
     reported_requests: u32,
     reported_at: Option<Instant>,
     consecutive_failures: u32,
     paused_until: Option<Instant>,
-    /// Polls since the last report. Kept apart from `failures`: an engine that answers polls but no work must
-    /// not be forgiven by its reports.
+    /// Polls since the last report. Separate from `consecutive_failures`: reports must not clear the failures
+    /// of an engine that answers polls but does no work.
     unanswered_polls: u32,
 }
 
@@ -134,21 +137,21 @@
     next_round_robin: usize,
 }
 
-/// What a choice is made for.
+/// Criteria for the choice of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Need<'a> {
     pub(crate) pool: &'a str,
     pub(crate) role: Role,
-    /// Failure domain to prefer between equals.
+    /// Failure domain to prefer among equally loaded endpoints.
     pub(crate) domain: &'a str,
-    /// Endpoints that failed this request already.
+    /// Endpoints at which the request has failed.
     pub(crate) tried: &'a [EndpointKey],
-    /// Most requests for each 100 slots.
+    /// Maximum number of requests per 100 slots.
     pub(crate) max_load_percent: u32,
 }
 
 impl EndpointTable {
-    /// Takes a configuration version over. Endpoints that it no longer has stay until their work has ended.
+    /// Applies a configuration version. Endpoints that it does not contain stay until their work has ended.
     pub(crate) fn apply(&mut self, configuration: &Arc<Configuration>) {
         for entry in self.endpoints.values_mut() {
             entry.removed = true;
@@ -158,7 +161,8 @@
             let key = self.by_id.get(&id).copied().unwrap_or_else(|| self.insert(id));
             let entry = &mut self.endpoints[key];
             if entry.address != endpoint.address {
-                // Another process under an old name: what the old one said of itself says nothing of it.
+                // A new address means another process under the same name; the state of the old process does
+                // not apply to it.
                 entry.leaving = false;
                 entry.consecutive_failures = 0;
                 entry.paused_until = None;
@@ -210,7 +214,7 @@
         key
     }
 
-    /// Forgets removed endpoints without work.
+    /// Drops removed endpoints without work.
     fn remove_idle(&mut self) {
         let by_id = &mut self.by_id;
         self.endpoints.retain(|_, entry| {
@@ -230,7 +234,7 @@
         self.placement
     }
 
-    /// Id of an endpoint that may be gone by now.
+    /// Id of an endpoint, unless it has been dropped.
     pub(crate) fn id_of(&self, key: EndpointKey) -> Option<EndpointId> {
         self.endpoints.get(key).map(|e| e.id)
     }
@@ -239,21 +243,21 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Engines of the pools that `wanted` names, to ask for reports.
+    /// Engines of the pools that `wanted` selects, to poll for their load.
     pub(crate) fn engines(&self, wanted: impl Fn(&str) -> bool) -> Vec<Target> {
         let engines =
             self.endpoints.values().filter(|e| e.role != Role::Service && !e.removed && wanted(&e.pool));
         engines.map(EndpointEntry::target).collect()
     }
 
-    /// Takes a slot; each is given back once by [`EndpointTable::release_slot`].
+    /// Takes a slot, which is released once by [`EndpointTable::release_slot`].
     pub(crate) fn take_slot(&mut self, key: EndpointKey) {
         self.endpoints[key].own += 1;
     }
 
     pub(crate) fn release_slot(&mut self, key: EndpointKey) {
         let entry = &mut self.endpoints[key];
-        assert!(entry.own > 0, "a slot of {} is given back twice", entry.name);
+        assert!(entry.own > 0, "a slot of {} is released twice", entry.name);
         entry.own -= 1;
         if entry.removed && entry.own == 0 {
             let id = entry.id;
@@ -265,12 +269,12 @@
         }
     }
 
-    /// Whether any endpoint could ever serve the need, full or not.
+    /// Whether any endpoint of this pool and role takes new work, full or not.
     pub(crate) fn has_open(&self, now: Instant, pool: &str, role: Role) -> bool {
         self.group(pool, role).iter().any(|&k| self.is_open(now, &self.endpoints[k]))
     }
 
-    /// Slots of usable endpoints of a kind.
+    /// Slots of the endpoints of this pool and role that take new work.
     pub(crate) fn capacity(&self, now: Instant, pool: &str, role: Role) -> u32 {
         let open =
             self.group(pool, role).iter().map(|&k| &self.endpoints[k]).filter(|e| self.is_open(now, e));
@@ -285,7 +289,7 @@
         self.placement = placement;
     }
 
-    /// Chooses an endpoint by the placement in use.
+    /// Chooses an endpoint by the configured placement.
     pub(crate) fn choose(
         &mut self,
         now: Instant,
@@ -312,11 +316,11 @@
         }
     }
 
-    /// Chooses a slot pair, as the owner of the pool: the decode engine with the most room at a site drawn by its
-    /// share, and the prefill engine with the least to do.
+    /// Chooses a slot pair as the owner of the pool: the least loaded decode engine at a site drawn by its
+    /// share, and the prefill engine with the fewest prompt tokens to prefill.
     ///
-    /// Only engines that have reported lately are chosen: an owner that has just come to be does not know yet
-    /// what runs there.
+    /// Only engines with a recent report are chosen, because a new owner does not know yet what runs at the
+    /// others.
     pub(crate) fn pair(
         &self,
         now: Instant,
@@ -342,11 +346,11 @@
             let load = (used(k).requests + entry.unaccounted) * 1000 / entry.slots.max(1);
             (load / LOAD_TOLERANCE, entry.domain != need.domain, load, rng.random::<u32>())
         })?;
-        let near = &self.endpoints[decode].domain;
+        let decode_domain = &self.endpoints[decode].domain;
         let prefills = self.group(need.pool, Role::Prefill).iter().copied();
         let prefill = prefills.filter(fits(Role::Prefill, need.max_load_percent)).min_by_key(|&k| {
             let entry = &self.endpoints[k];
-            (used(k).tokens, entry.unaccounted, entry.domain != *near, rng.random::<u32>())
+            (used(k).tokens, entry.unaccounted, entry.domain != *decode_domain, rng.random::<u32>())
         })?;
         Some((prefill, decode))
     }
@@ -356,10 +360,10 @@
         self.group(need.pool, need.role).iter().copied().filter(fits).collect()
     }
 
-    /// Chooses an endpoint with room, by two random choices within a site drawn by its share.
+    /// Chooses an endpoint with free slots: the better of two random ones at a site drawn by its share.
     ///
-    /// Two choices on stale reports keep instances from all running to the one endpoint that looked idle a
-    /// moment ago, which the least loaded choice does.
+    /// With stale reports, choosing the least loaded endpoint would make all instances choose the same
+    /// endpoint, the one that was idle a moment ago. Two random choices avoid this.
     fn two_choices(&self, now: Instant, need: &Need<'_>, rng: &mut SmallRng) -> Option<EndpointKey> {
         let fits = |k: &EndpointKey| {
             let entry = &self.endpoints[*k];
@@ -409,14 +413,15 @@
         None
     }
 
-    /// Load per slot in thousandths, then distance.
+    /// Load per slot in thousandths, then whether the endpoint is in another failure domain.
     fn load_and_distance(&self, key: EndpointKey, domain: &str) -> (u32, bool) {
         let entry = &self.endpoints[key];
         (entry.load() * 1000 / entry.slots.max(1), entry.domain != domain)
     }
 
-    /// Takes in a report; `me` tells own work from that of others, and `unaccounted` is what the owner of the pool
-    /// does not account for. Says whether the endpoint was out of reach.
+    /// Records a load report. `me` distinguishes own requests from those of others; `unaccounted` is the
+    /// number of requests that the owner of the pool does not account for. Returns whether the endpoint was
+    /// unreachable before.
     pub(crate) fn observe_load(
         &mut self,
         now: Instant,
@@ -435,14 +440,14 @@
         std::mem::take(&mut entry.unanswered_polls) >= UNANSWERED_POLLS_MAX
     }
 
-    /// A poll went unanswered. Says whether the endpoint counts as out of reach from now on.
+    /// Records a poll without an answer. Returns whether the endpoint became unreachable by this poll.
     pub(crate) fn observe_unanswered_poll(&mut self, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
         entry.unanswered_polls += 1;
         entry.unanswered_polls == UNANSWERED_POLLS_MAX
     }
 
-    /// Forgets what old reports said about others.
+    /// Discards the requests of others in reports that are too old.
     pub(crate) fn expire_reports(&mut self, now: Instant) {
         for entry in self.endpoints.values_mut() {
             if entry.reported_at.is_some_and(|at| now.duration_since(at) > REPORT_AGE_MAX) {
@@ -452,28 +457,28 @@
         }
     }
 
-    /// Whether an endpoint is to get nothing new, by whatever word.
+    /// Whether an endpoint gets no new work, by the configuration or by its own statement.
     pub(crate) fn is_leaving(&self, key: EndpointKey) -> bool {
         self.endpoints[key].is_leaving()
     }
 
-    /// The endpoint itself said that it leaves.
+    /// Records that the endpoint itself is leaving.
     pub(crate) fn observe_leaving(&mut self, key: EndpointKey) {
         self.endpoints[key].leaving = true;
     }
 
-    /// A step there went well. Returns whether the endpoint had been paused.
+    /// Records a successful step. Returns whether the endpoint had been paused.
     pub(crate) fn observe_success(&mut self, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
         entry.consecutive_failures = 0;
         entry.paused_until.take().is_some()
     }
 
-    /// A step there failed. Returns whether the endpoint is paused from now on and was not before.
+    /// Records a failed step. Returns whether this failure paused the endpoint.
     ///
-    /// Without the pause every request would learn on its own, by its own timeout, that an endpoint is gone;
-    /// callers would see that as a run of slow answers. The pause is short and ends by itself, so a wrong one
-    /// costs little.
+    /// Without the pause, every request would detect a failed endpoint by its own timeout, and callers would
+    /// see a series of slow responses. The pause is short and ends by itself, so that a wrong one costs
+    /// little.
     pub(crate) fn observe_failure(&mut self, now: Instant, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
         entry.consecutive_failures += 1;
@@ -501,7 +506,7 @@
         views.collect()
     }
 
-    /// Slots taken by this instance over all endpoints.
+    /// Slots that this instance holds at all endpoints.
     pub(crate) fn taken_slots(&self) -> u32 {
         self.endpoints.values().map(|e| e.own).sum()
     }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,15 +1,15 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! The closed list of error kinds, and the table that maps each kind to its response.
 
 use std::time::Duration;
 
 /// What a refused caller may conclude about its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Nothing of the request reached an endpoint; it is safe to send it again.
+    /// Nothing of the request reached an endpoint, so it is safe to send the request again.
     NotRun,
-    /// The request may have run, once at most.
+    /// The request may have run, at most once.
     Unknown,
-    /// The request ran, at least in part, and gave no whole answer.
+    /// The request ran, at least in part, without a complete response.
     Failed,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Every reason for which a caller gets no answer of an endpoint.
+/// Reasons for which a caller gets no response of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ErrorKind {
     /// The request is malformed.
@@ -33,45 +33,45 @@
     UnknownModel,
     /// No such service or route.
     UnknownService,
-    /// The caller shows no key, or one that no team holds.
+    /// The caller sent no API key, or a key of no team.
     Unauthorized,
-    /// The caller's team is at its limit.
+    /// The caller's team has reached its limit.
     QuotaExceeded,
     /// The body is larger than allowed.
     TooLarge,
-    /// The caller did not send its whole request in time.
+    /// The caller did not send its complete request in time.
     Incomplete,
-    /// No configuration has been seen yet.
+    /// The instance has no configuration yet.
     NotReady,
-    /// The instance is stopping.
+    /// The instance is shutting down gracefully.
     Stopping,
-    /// Every fitting slot is taken for longer than the class may wait.
+    /// No suitable slot is expected to become free within the wait that the class allows.
     Overloaded,
-    /// No endpoint that may serve the request is in reach.
+    /// No endpoint that may serve the request is reachable.
     NoEndpoint,
-    /// Endpoints crash under the request, whoever sends it.
+    /// Endpoints crash under the request; this applies to all callers that send it.
     Quarantined,
-    /// The caller's deadline passed before the request was sent anywhere.
+    /// The caller's deadline passed before the request was sent to an endpoint.
     Expired,
     /// The caller's deadline passed while the request was running.
     DeadlinePassed,
-    /// Endpoints failed more often than a request is retried.
+    /// Endpoints failed, and the request may not be attempted again.
     EndpointFailed,
-    /// The endpoint found the request wrong.
+    /// The endpoint refused the request as invalid.
     Rejected,
-    /// A call that may not be repeated was sent, and its fate is not known.
+    /// A non-idempotent call was sent and its outcome is unknown.
     OutcomeUnknown,
     /// A request with the same idempotency key is still in progress.
     KeyInUse,
-    /// A request with the same idempotency key ran, and its answer is no longer kept.
+    /// A request with the same idempotency key ran, and its response is not stored any more.
     KeyUsed,
-    /// It cannot be told whether a request with the same idempotency key ran.
+    /// Whether a request with the same idempotency key ran is unknown.
     KeyUnknown,
-    /// A fault of this program.
+    /// Internal error of this program.
     Internal,
 }
 
-/// What a caller is told for an [`ErrorKind`].
+/// Response to a caller for an [`ErrorKind`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
@@ -122,8 +122,8 @@
         Self::Internal,
     ];
 
-    /// The answer for this kind.
-    #[rustfmt::skip] // One kind a line reads as the table that it is.
+    /// The response for this kind.
+    #[rustfmt::skip] // One kind per line, as a table.
     pub const fn answer(self) -> Answer {
         use Outcome::{Failed, NotRun, Unknown};
         const CALLER: &str = "invalid_request_error";
@@ -154,22 +154,22 @@
     }
 }
 
-/// A final answer without a result.
+/// A final response without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub kind: ErrorKind,
-    /// When to come back, where coming back can help.
+    /// `Retry-After` delay, if a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that coming back does not change.
+    /// A refusal that a retry does not change.
     pub const fn new(kind: ErrorKind) -> Self {
         Self { kind, retry_after: None }
     }
 
-    /// A refusal with a time to come back.
+    /// A refusal with a `Retry-After` delay.
     pub const fn retryable(kind: ErrorKind, retry_after: Duration) -> Self {
         Self { kind, retry_after: Some(retry_after) }
     }
--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -1,4 +1,4 @@
-//! What an instance learns from requests that go by, and what it counts.
+//! Moving averages of request durations, and counters.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use crate::requests::{Kind, Request};
 
 impl Instance {
-    /// Moving average of how long requests of a pool hold their slot.
+    /// Updates the moving average of how long requests of a pool hold their slot.
     pub(crate) fn record_hold_time(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         let held = now.duration_since(request.slot_taken);
@@ -16,7 +16,7 @@
         *average = (*average * 7 + held) / 8;
     }
 
-    /// Moving average of a prefill's time for each prompt token, the wait inside the engine included.
+    /// Updates the moving average of the prefill time per prompt token, including the wait inside the engine.
     pub(crate) fn record_prefill_time(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         let Kind::Generate { prompt_tokens, .. } = request.kind else {
@@ -27,7 +27,7 @@
         *token_time = (*token_time * 15 + took) / 16;
     }
 
-    /// Moving average of the time from the end of a prefill to the first token.
+    /// Updates the moving average of the time from the end of a prefill to the first token.
     pub(crate) fn record_first_token_delay(&mut self, now: Instant, key: RequestKey) {
         let request = self.requests.get(key);
         if request.first_token.is_some() {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Counts a prefill of which nothing was used: by the decode endpoint's site where it is known.
+    /// Counts a prefill whose result was not used, by the site of the decode endpoint if that is known.
     pub(crate) fn count_wasted_prefill(&mut self, key: RequestKey, decode: Option<EndpointKey>) {
         let request = self.requests.get(key);
         if let Kind::Generate { prompt_tokens, .. } = request.kind {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A prefill that was under way is counted as done and wasted.
+    /// Counts an unfinished prefill as done and wasted.
     pub(crate) fn count_cancelled_prefill(&mut self, key: RequestKey, decode: EndpointKey) {
         self.count_prefill(key, decode);
         self.count_wasted_prefill(key, Some(decode));
@@ -75,7 +75,7 @@
     }
 }
 
-/// Whether first token and mean gap between tokens met the targets of the class.
+/// Whether the first token and the mean gap between tokens met the targets of the class.
 fn within_targets(now: Instant, request: &Request) -> bool {
     let Kind::Generate { first_token_target, token_gap_target, .. } = request.kind else {
         return true;
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into an instance and what comes out of it.
+//! Events that go into an instance and effects that come out of it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,128 +9,128 @@
 
 use crate::{AttemptId, CallerKey, EndpointId, Fingerprint, InstanceId, Message, Refusal, RequestId, Ticket};
 
-/// Something that happened.
+/// Input of an instance.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller sent a whole request.
+    /// A complete request of a caller was received.
     Arrived {
-        /// Handle that effects for this caller will carry; unique for the life of the instance.
+        /// Handle in the effects for this caller; unique for the lifetime of the instance.
         ticket: Ticket,
-        /// What it asks for.
+        /// The requested work.
         work: Work,
     },
-    /// The caller went away or has its answer; nothing more may be sent to it.
+    /// The caller has disconnected or has its response; nothing more may be sent to it.
     CallerGone {
-        /// Its handle.
+        /// Handle of the caller.
         ticket: Ticket,
     },
-    /// A prefill ended well.
+    /// A prefill succeeded.
     Prefilled {
-        /// The try that ended.
+        /// The attempt.
         attempt: AttemptId,
         /// Size of the KV cache in bytes.
         bytes: u64,
-        /// Prompt tokens that the engine had in its prefix cache.
+        /// Prompt tokens that were in the engine's prefix cache.
         cached: u32,
     },
-    /// A decode engine holds the KV cache.
+    /// A decode engine has imported the KV cache.
     Imported {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
     },
     /// Output has been passed to the caller.
     Advanced {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// Tokens passed on so far, over all tries.
+        /// Tokens passed on so far, over all attempts.
         offset: u32,
     },
     /// The last token has been passed to the caller.
     Finished {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// Tokens passed on, over all tries.
+        /// Tokens passed on, over all attempts.
         offset: u32,
-        /// The answer where it is small enough to be kept for its idempotency key.
+        /// The response, if it is small enough to be stored for its idempotency key.
         stored: Option<StoredResponse>,
     },
-    /// A service call was answered.
+    /// A service call has its response.
     Called {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// The answer where it is small enough to be kept for its idempotency key.
+        /// The response, if it is small enough to be stored for its idempotency key.
         stored: Option<StoredResponse>,
     },
     /// A step at an endpoint failed.
     Failed {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Kind of failure.
         failure: StepFailure,
-        /// Tokens passed to the caller so far, over all tries.
+        /// Tokens passed to the caller so far, over all attempts.
         offset: u32,
     },
-    /// An engine answered a cancel, or did not.
+    /// A cancel ended, confirmed or not.
     Cancelled {
-        /// The try.
+        /// The cancelled attempt.
         attempt: AttemptId,
-        /// Where it ran.
+        /// The engine.
         endpoint: EndpointId,
-        /// Whether the engine confirmed that it holds nothing of it any more.
+        /// Whether the engine confirmed that it holds nothing for the attempt any more.
         confirmed: bool,
     },
-    /// A load report of an engine.
+    /// An engine reported its load.
     Reported {
         /// The engine.
         endpoint: EndpointId,
-        /// The report.
+        /// The load report.
         report: EngineLoad,
     },
-    /// An engine did not answer a request for its load.
+    /// An engine did not answer a poll of its load.
     Unreported {
         /// The engine.
         endpoint: EndpointId,
     },
     /// A configuration version was read.
     ConfigurationRead {
-        /// The version, or why it cannot be used.
+        /// The version, or its validation errors.
         candidate: ConfigurationCandidate,
-        /// Where from.
+        /// Where the version was read.
         source: Source,
     },
     /// A list of instances was read.
     ListRead {
         /// The list.
         list: InstanceList,
-        /// Where from.
+        /// Where the list was read.
         source: Source,
-        /// When the reading was begun; the list cannot be trusted to be newer than that.
+        /// When the read was started. The list may be as old as this time.
         read_started: Instant,
     },
     /// The platform answered that this list revision is still the latest.
     ListUnchanged {
         /// The revision.
         revision: u64,
-        /// When the reading was begun.
+        /// When the read was started.
         read_started: Instant,
     },
     /// A peer sent a message.
     Received {
-        /// The peer, as its certificate names it.
+        /// The peer, as named by its certificate.
         from: InstanceId,
         /// The message.
         message: Message,
     },
-    /// An operator or the platform asked for a planned stop.
+    /// An operator or the platform requested a graceful shutdown.
     Stop,
     /// Time passed; sent at least every [`Instance::TICK`](crate::Instance::TICK).
     Tick,
 }
 
-/// What a caller asks for.
+/// Work that a caller requests.
 #[derive(Debug, Clone)]
 pub enum Work {
-    /// Tokens of a model.
+    /// Generation of tokens by a model.
     Generate(Generate),
     /// One call of a plain service.
     Call(Call),
@@ -139,21 +139,22 @@
 /// A generation.
 #[derive(Debug, Clone)]
 pub struct Generate {
-    /// Model name as the caller gave it.
+    /// Model name given by the caller.
     pub model: String,
-    /// Team, empty where the caller gave none.
+    /// Team, empty if the caller gave none.
     pub team: String,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether the caller says that it was refused before and comes back; its target has passed already.
+    /// Whether the caller marks the request as a retry after a refusal; its target for the first token has
+    /// then passed already.
     pub retry: bool,
     /// Idempotency key, if the caller gave one.
     pub key: Option<CallerKey>,
-    /// By what it is known if it is sent again.
+    /// Identifies the request when the caller sends it again.
     pub fingerprint: Fingerprint,
-    /// Time from arrival after which the caller has no use for the answer.
+    /// Time from arrival after which the caller does not need the response any more.
     pub deadline: Duration,
 }
 
@@ -164,39 +165,39 @@
     pub service: String,
     /// HTTP method, upper case.
     pub method: String,
-    /// Team, empty where the caller gave none.
+    /// Team, empty if the caller gave none.
     pub team: String,
     /// Idempotency key, if the caller gave one.
     pub key: Option<CallerKey>,
-    /// By what it is known if it is sent again.
+    /// Identifies the request when the caller sends it again.
     pub fingerprint: Fingerprint,
-    /// Time from arrival after which the caller has no use for the answer.
+    /// Time from arrival after which the caller does not need the response any more.
     pub deadline: Duration,
 }
 
-/// How a step failed. The first three prove that the endpoint began nothing.
+/// How a step failed. The first three variants prove that the endpoint did not start the step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StepFailure {
-    /// No connection was made, so nothing left this process.
+    /// No connection was made, so nothing was sent.
     NotSent,
-    /// The endpoint said that it is full and has not begun.
+    /// The endpoint answered that it is full and has not started the step.
     Busy,
-    /// The endpoint said that it is leaving and has not begun.
+    /// The endpoint answered that it is leaving and has not started the step.
     Leaving,
-    /// The endpoint said that the KV cache or the request is no longer there.
+    /// The endpoint answered that it does not hold the KV cache or the request any more.
     Evicted,
-    /// The endpoint found the request wrong.
+    /// The endpoint refused the request as invalid.
     Rejected,
-    /// The connection broke or the answer made no sense; the step may have run.
+    /// The connection broke or the response was malformed; the step may have run.
     Broken,
-    /// No answer in time; the step may have run.
+    /// No response within the timeout; the step may have run.
     TimedOut,
-    /// The stream stopped moving.
+    /// The stream made no progress.
     Stalled,
 }
 
 impl StepFailure {
-    /// Whether the endpoint provably began nothing.
+    /// Whether the endpoint provably did not start the step.
     pub const fn not_started(self) -> bool {
         match self {
             Self::NotSent | Self::Busy | Self::Leaving => true,
@@ -205,51 +206,51 @@
     }
 }
 
-/// An engine's own account of its load; it lags.
+/// Load reported by an engine itself; it lags.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
-    /// Requests that it works on or holds memory for.
+    /// Requests that the engine works on or holds memory for.
     pub running: Vec<Running>,
     /// Requests waiting inside the engine.
     pub waiting: u32,
-    /// Whether it says that it is leaving.
+    /// Whether the engine states that it is leaving.
     pub leaving: bool,
 }
 
 /// A request that an engine holds memory for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Running {
-    /// The try; engines may also hold work that is not of this system, which is left out.
+    /// The attempt. Work of other systems at the engine is left out.
     pub attempt: AttemptId,
 }
 
-/// A configuration version as it was read.
+/// A configuration version that was read.
 #[derive(Debug, Clone)]
 pub enum ConfigurationCandidate {
-    /// It checks.
+    /// The version is valid.
     Valid {
         /// The version.
         configuration: Arc<Configuration>,
-        /// Its JSON text, for peers that cannot reach the platform.
+        /// JSON text of the version, for peers that cannot reach the platform.
         text: Arc<str>,
     },
-    /// It does not check and is refused whole.
+    /// The version is invalid and is refused as a whole.
     Invalid {
-        /// Its number, if that much could be read.
+        /// Number of the version, if it could be read.
         version: Option<u64>,
-        /// Every mistake.
-        mistakes: String,
+        /// All validation errors.
+        errors: String,
     },
 }
 
 impl ConfigurationCandidate {
-    /// Reads a version from its JSON text.
+    /// Parses and validates a version from its JSON text.
     pub fn parse(text: &str) -> Self {
         match parse_configuration(text) {
             Ok(configuration) => {
                 Self::Valid { configuration: Arc::new(configuration), text: Arc::from(text) }
             }
-            Err(mistakes) => Self::Invalid { version: None, mistakes: mistakes.to_string() },
+            Err(errors) => Self::Invalid { version: None, errors: errors.to_string() },
         }
     }
 }
@@ -257,9 +258,9 @@
 /// The platform's list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Grows with every change of the list.
+    /// Rises with every change of the list.
     pub revision: u64,
-    /// Instances, live and leaving.
+    /// All instances, leaving ones included.
     pub instances: Vec<InstanceEntry>,
 }
 
@@ -272,11 +273,11 @@
     pub domain: String,
     /// Address for peers.
     pub peers: SocketAddr,
-    /// Whether it is on its way out.
+    /// Whether the instance is leaving.
     pub leaving: bool,
 }
 
-/// Where a piece of news came from.
+/// Where a configuration or a list was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The platform.
@@ -285,7 +286,7 @@
     Peer(InstanceId),
 }
 
-/// An answer kept for retries with the same idempotency key.
+/// A response stored for retries with the same idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status.
@@ -298,7 +299,7 @@
 }
 
 impl StoredResponse {
-    /// Largest body that is kept, in bytes.
+    /// Largest body that is stored, in bytes.
     pub const MAX_BODY_BYTES: usize = 16 * 1024;
 }
 
@@ -307,21 +308,21 @@
 pub struct Target {
     /// The endpoint.
     pub id: EndpointId,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
 }
 
-/// Something to be done.
+/// Output of an instance: an action for its driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// The request was taken; tell the caller its id.
+    /// Tell the caller the id of its request, which was accepted.
     Accept {
         /// The caller.
         ticket: Ticket,
-        /// Id to show.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Run a prefill of the prompt and whatever was passed on already.
+    /// Run a prefill of the prompt and of the output that was passed on already.
     Prefill {
         /// The caller.
         ticket: Ticket,
@@ -329,12 +330,12 @@
         attempt: AttemptId,
         /// The engine.
         target: Target,
-        /// 0 is most urgent.
+        /// Priority; 0 is the most urgent.
         priority: u8,
-        /// When to give up.
+        /// Timeout of the step.
         timeout: Duration,
     },
-    /// Move the KV cache of a prefill to a decode engine.
+    /// Transfer the KV cache of a prefill to a decode engine.
     Import {
         /// The caller.
         ticket: Ticket,
@@ -344,10 +345,10 @@
         origin: Target,
         /// Decode engine.
         target: Target,
-        /// When to give up.
+        /// Timeout of the step.
         timeout: Duration,
     },
-    /// Generate, and pass tokens to the caller.
+    /// Generate tokens and pass them to the caller.
     Decode {
         /// The caller.
         ticket: Ticket,
@@ -355,46 +356,46 @@
         attempt: AttemptId,
         /// Decode engine.
         target: Target,
-        /// The earlier try whose stream is taken up on a new connection, if any.
+        /// Earlier attempt whose stream is resumed on a new connection, if any.
         resume: Option<AttemptId>,
-        /// 0 is most urgent.
+        /// Priority; 0 is the most urgent.
         priority: u8,
-        /// Longest silence.
+        /// Longest time without output.
         stall_timeout: Duration,
     },
     /// Call a plain service.
     Call {
         /// The caller.
         ticket: Ticket,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
         /// The service's endpoint.
         target: Target,
-        /// When to give up.
+        /// Timeout of the call.
         timeout: Duration,
     },
-    /// Give the caller its final answer: no result.
+    /// Refuse the request as the final response to the caller.
     Refuse {
         /// The caller.
         ticket: Ticket,
-        /// Why, and when to come back.
+        /// Reason, and `Retry-After` delay if any.
         refusal: Refusal,
     },
-    /// Give the caller its final answer: the one kept for its idempotency key.
+    /// Send the response stored for the caller's idempotency key as its final response.
     Replay {
         /// The caller.
         ticket: Ticket,
-        /// The kept answer.
+        /// The stored response.
         stored: StoredResponse,
     },
-    /// Tell an engine to drop whatever it holds of a try.
+    /// Tell an engine to drop everything that it holds for an attempt.
     Cancel {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
         /// The engine.
         target: Target,
     },
-    /// Ask an engine for its load.
+    /// Poll an engine's load.
     Poll {
         /// The engine.
         target: Target,
@@ -403,43 +404,43 @@
     Send {
         /// The peer.
         to: InstanceId,
-        /// Its name, which its certificate must show.
+        /// Name of the peer, which its certificate must contain.
         name: Arc<str>,
-        /// Its address.
+        /// Address of the peer.
         address: SocketAddr,
         /// The message.
         message: Message,
     },
     /// Write a line of the audit trail.
     Audit(Audit),
-    /// The planned stop is complete; the process may end.
+    /// The graceful shutdown is complete; the process may end.
     Stopped,
 }
 
-/// A change worth keeping a record of.
+/// A change that is recorded in the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Audit {
-    /// A version came into force.
+    /// A configuration version became active.
     Accepted {
-        /// Its number.
+        /// Number of the version.
         version: u64,
-        /// Where it came from.
+        /// Where the version was read.
         source: Source,
     },
-    /// A version was refused.
+    /// A configuration version was refused.
     Refused {
-        /// Its number, if it could be read.
+        /// Number of the version, if it could be read.
         version: Option<u64>,
-        /// Where it came from.
+        /// Where the version was read.
         source: Source,
-        /// Why.
+        /// Reason.
         cause: String,
     },
-    /// A new list of instances came into force.
+    /// A new list of instances became current.
     List {
-        /// Its revision.
+        /// Revision of the list.
         revision: u64,
-        /// Where it came from.
+        /// Where the list was read.
         source: Source,
     },
     /// A peer's health changed.
@@ -449,25 +450,25 @@
         /// `alive`, `suspect` or `dead`.
         health: &'static str,
     },
-    /// An endpoint was found unreachable, or reachable again.
+    /// An endpoint became unreachable, or reachable again.
     Endpoint {
-        /// Its name.
+        /// Name of the endpoint.
         endpoint: String,
-        /// Whether it answers.
+        /// Whether the endpoint is reachable.
         reachable: bool,
     },
-    /// Endpoints crash under a request; it is not sent to more of them for a while.
+    /// Endpoints crash under a request, which is not sent to any endpoint for a while.
     Quarantined {
         /// The request.
         request: Fingerprint,
     },
-    /// Work of a dead instance was cancelled at an engine.
+    /// Work of an instance that has ended was cancelled at an engine.
     Orphan {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
         /// Name of the engine.
         endpoint: String,
     },
-    /// A planned stop began.
+    /// A graceful shutdown started.
     Stopping,
 }
--- a/crates/core/src/failures.rs
+++ b/crates/core/src/failures.rs
@@ -1,7 +1,7 @@
-//! What follows when a step at an endpoint fails: take the stream up, go elsewhere, or give up.
+//! Reactions to a failed step at an endpoint: resume the stream, use another endpoint, or refuse the request.
 //!
-//! Every failure is answered by what it proves. Only an unsent step leaves "not run" possible; a call that may
-//! not be repeated is sent again only after such a one.
+//! Each reaction follows from what the failure proves. Only a step that was not started leaves the outcome
+//! "not run" possible. A non-idempotent call is sent again only after such a step.
 
 use std::time::Instant;
 
@@ -28,7 +28,7 @@
             return;
         };
         let request = self.requests.get_mut(key);
-        assert!(offset >= request.offset, "output of {attempt} moved back");
+        assert!(offset >= request.offset, "output offset of {attempt} decreased");
         request.offset = offset;
         let phase = request.phase;
         if matches!(failure, StepFailure::Broken | StepFailure::TimedOut | StepFailure::Stalled)
@@ -98,14 +98,15 @@
         self.requeue_or_refuse(now, key, failure, out);
     }
 
-    /// A try of which something ran has ended.
+    /// Ends an attempt that may have run.
     pub(crate) fn back_to_waiting(&mut self, key: RequestKey) {
         let request = self.requests.get_mut(key);
         request.phase = Phase::Waiting;
         request.maybe_reached_endpoint = true;
     }
 
-    /// The decode engine did not begin, so the KV cache is still good: try another one at once.
+    /// Imports the KV cache at another decode engine. The failed engine did not start, so the cache is still
+    /// valid.
     pub(crate) fn import_elsewhere(
         &mut self,
         now: Instant,
@@ -138,10 +139,10 @@
         let request = self.requests.get_mut(key);
         let attempt = request.attempt();
         if silent && !request.resumed {
-            // A connection can go silent for good while the engine works on and new connections are fine:
-            // the caller would see its answer stop in the middle. Taking the stream up on a new connection
-            // at the offset that the caller has costs nothing but the pause, and the engine itself says
-            // whether it still has the request.
+            // A connection can stop delivering data for good while the engine continues and new connections
+            // work. The caller would see its response stop in the middle. Resuming the stream on a new
+            // connection, at the offset that the caller has, costs only the pause, and the engine itself
+            // reports whether it still has the request.
             request.resumed = true;
             request.attempts += 1;
             self.counters.resumed += 1;
@@ -174,7 +175,7 @@
         let request = self.requests.get_mut(key);
         request.tried.push(endpoint);
         let Kind::Call { repeatable, .. } = request.kind else {
-            unreachable!("only calls are in the phase of calling");
+            unreachable!("only calls are in the calling phase");
         };
         request.phase = Phase::Waiting;
         request.maybe_reached_endpoint |= !failure.not_started();
@@ -184,7 +185,7 @@
         self.requeue_or_refuse(now, key, failure, out);
     }
 
-    /// Sends the request back to the queue, or gives up on it.
+    /// Queues the request for another attempt, or refuses it.
     pub(crate) fn requeue_or_refuse(
         &mut self,
         now: Instant,
@@ -217,8 +218,9 @@
         allowed && self.retry_budget >= RETRY_COST
     }
 
-    /// Retries come from a budget that grows with arrivals, so that a fault of many endpoints cannot turn the
-    /// callers' load into a multiple of itself and keep the endpoints down after the fault has ended.
+    /// Charges another attempt to the retry budget. The budget grows with arrivals, so that a failure of many
+    /// endpoints cannot multiply the callers' load and keep the endpoints overloaded after the failure has
+    /// ended.
     pub(crate) fn charge_retry_budget(&mut self) {
         self.retry_budget -= RETRY_COST;
         self.counters.retried += 1;
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,25 +1,27 @@
-//! By what a request that comes again is known: what it asks for, not who numbered it.
+//! Fingerprints that identify requests by content, independent of their ids.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// What a request asks for, as a hash that is the same on every instance.
+/// Hash of a request's content that is the same on every instance.
 ///
-/// A caller who sends a request again gives it a new id, so that an id tells nothing of what the same request did before.
-/// The hash is not cryptographic: with effort, somebody could make a request that looks like another one.
+/// A caller that sends a request again gives it a new id, so that the id does not show what the same request
+/// did before. The hash is not cryptographic: an attacker could construct a request with the fingerprint of
+/// another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Fingerprint of a request. `team` is empty where callers have none; `path` includes the query.
+    /// Fingerprint of a request. `team` is empty for callers without a team; `path` includes the query.
     ///
-    /// The team is part of it, so that no team can have another one's requests refused by sending the same.
+    /// The team is part of the fingerprint, so that no team can cause refusals of another team's requests by
+    /// sending the same content.
     pub fn of(team: &str, method: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = Xxh3::new();
         for part in [team.as_bytes(), method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
-            // With their lengths, so that no byte can move from one part to the next.
+            // Each length is hashed too, so that no byte can move between parts.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,7 +1,7 @@
 //! Typed identifiers. All are small and `Copy`.
 //!
-//! Instances and endpoints have names that operators give; inside the system and on the wire each is known
-//! by a 64-bit hash of its name, which is fixed in size and the same on every instance.
+//! Operators name instances and endpoints. Internally and on the wire, each of them is identified by a 64-bit
+//! hash of its name, which has a fixed size and is the same on every instance.
 
 use std::fmt;
 use std::str::FromStr;
@@ -49,7 +49,8 @@
     }
 }
 
-/// An idempotency key, by the hash of team and text, so that teams cannot collide on purpose or by chance.
+/// An idempotency key, by the hash of team and text, so that keys of different teams do not collide, by
+/// intention or by chance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IdempotencyKey(pub u128);
 
@@ -64,28 +65,28 @@
     }
 }
 
-/// An idempotency key and when it was made, where the key itself tells.
+/// An idempotency key with its creation time, if the key carries one.
 ///
-/// A key in the form of a UUID of version 7 carries the time at which it was made. A home can then tell that
-/// no earlier home can have seen it; of any other key it must assume that it may be as old as the horizon.
+/// A UUID of version 7 carries its creation time. A home can then prove that no previous home has received
+/// the key. Any other key may be as old as the horizon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerKey {
     /// The key.
     pub key: IdempotencyKey,
-    /// When it was made, in milliseconds since the Unix epoch, by the caller's clock.
+    /// Creation time in milliseconds since the Unix epoch, by the caller's clock.
     pub born: Option<u64>,
 }
 
-/// A caller's connection to its request, chosen by whoever drives the instance.
+/// Handle of a caller's request, chosen by the driver of the instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
 /// A request, unique across instances and their restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// Instance that took the request from its caller.
+    /// Instance that received the request from its caller.
     pub instance: InstanceId,
-    /// Start of that instance, in milliseconds since the Unix epoch.
+    /// Incarnation of that instance, in milliseconds since the Unix epoch.
     pub incarnation: u64,
     /// Number of the request within the incarnation.
     pub sequence: u64,
@@ -97,15 +98,15 @@
     }
 }
 
-/// One try of a request at an endpoint.
+/// One attempt of a request at an endpoint.
 ///
-/// Its text form is the request id that engines are given. It names the owner and its incarnation, so that
-/// any survivor can tell whose work an engine still holds.
+/// Its text form is the request id for engines. It names the owner and the owner's incarnation, so that any
+/// remaining instance can identify the owner of the work that an engine holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Number of the try, from 1.
+    /// Number of the attempt, from 1.
     pub number: u32,
 }
 
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -616,7 +616,7 @@
             return;
         }
         let Some(drained_at) = self.drained_at else {
-            assert_eq!(self.endpoints.taken_slots(), 0, "no request is left, but slots are taken");
+            assert_eq!(self.endpoints.taken_slots(), 0, "slots are taken although no request is left");
             self.drained_at = Some(now);
             for (to, message) in self.homes.handover_messages(&self.members) {
                 self.deliver(now, to, message, out);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,23 +1,24 @@
-//! The decisions of one entry instance, with no input or output of its own.
+//! Decision logic of one entry instance, without any input or output of its own.
 //!
-//! An [`Instance`] is driven through one entry: [`Instance::step`] takes the time and one typed [`Event`]
-//! and appends typed [`Effect`]s. It reads no clock, starts no task, opens no socket and draws random
-//! numbers only from a generator seeded at its start, so that the same events at the same times give the
-//! same effects. A daemon runs one instance on its control thread; a test or bench runs many side by side
-//! in virtual time.
+//! An [`Instance`] has a single entry point: [`Instance::step`] takes the time and one typed [`Event`] and
+//! appends typed [`Effect`]s. It reads no clock, starts no task, opens no socket and draws random numbers
+//! only from a generator that is seeded at its start. The same events at the same times therefore result in
+//! the same effects. A daemon runs one instance on its control thread; a test or bench runs many instances
+//! side by side in virtual time.
 //!
-//! Modules look down only: `instance` dispatches to `new_request`, `lifecycle` and `failures` (the steps of a request),
-//! `reservations` (its slots), `claims` (its idempotency key) and `crashes` (endpoints that go down under it), which use `requests`, `endpoints`, `queue`, `homes`, `quarantine` and `orphans`; `members` and `versions`
-//! know nothing of requests.
+//! Modules depend only on lower ones: `instance` dispatches to `new_request`, `lifecycle` and `failures` (the
+//! steps of a request), `reservations` (its slots), `claims` (its idempotency key) and `crashes` (endpoints
+//! that crash under it), which use `requests`, `endpoints`, `queue`, `homes`, `quarantine` and `orphans`;
+//! `members` and `versions` have no knowledge of requests.
 //!
 //! Invariants, asserted in the program:
-//! - a request gets exactly one final effect ([`Effect::Refuse`], or the end of the answer that its driver
+//! - a request gets exactly one final effect ([`Effect::Refuse`], or the end of the response that its driver
 //!   streams);
-//! - a refusal that says "not run" is only given to a request of which nothing can have reached an
+//! - a refusal with the outcome "not run" is only given to a request of which nothing can have reached an
 //!   endpoint;
-//! - a call that may not be repeated is sent again only if the last send provably never left;
-//! - a version in force is only ever replaced by a higher one;
-//! - a slot taken at an endpoint is given back exactly once, and a request holds one lease at most.
+//! - a non-idempotent call is sent again only if the last attempt provably was not started;
+//! - the active configuration is only replaced by a higher version;
+//! - a slot taken at an endpoint is released exactly once, and a request holds at most one lease.
 
 mod claims;
 mod clock;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,15 +1,16 @@
-//! The steps of a request, from its arrival to its one final answer.
+//! The steps of a request, from its arrival to its single final response.
 //!
 //! ```text
 //! arrived -> [claiming] -> waiting -> prefilling -> importing -> decoding -> finished
 //!                            ^  \---> calling ----------------------------> called
 //!                            |            \ failed
-//!                            +--- retry <--+
+//!                            +- requeued <-+
 //! ```
 //!
-//! A prefill result lives under a second, so a prefill starts only when a decode slot is kept for its end: the
-//! slots of both engines are taken together. A request that waits longer than its class may is refused, and
-//! one that would have to is refused on arrival.
+//! A prefill engine keeps the result of a prefill for less than a second. A prefill therefore starts only
+//! when a decode slot is reserved for its result: the slots of both engines are taken together. A request is
+//! refused when it has waited for longer than its class may, and on arrival if it would have to wait for
+//! longer.
 
 use std::time::{Duration, Instant};
 
@@ -25,14 +26,14 @@
 use crate::requests::{Cache, Kind, Phase, Request};
 use crate::{AttemptId, Ticket};
 
-/// When a caller should come back to an instance that is stopping or has no configuration yet: the balancer
-/// gives it another one.
+/// `Retry-After` delay of an instance that is shutting down or has no configuration yet. The load balancer
+/// sends the retry to another instance.
 pub(crate) const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_secs(1);
-/// Longest time to come back that a caller is told; what is further off cannot be foretold.
+/// Longest `Retry-After` delay; longer waits cannot be predicted.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
-/// One retry, in the hundredths that the budget is counted in.
+/// Cost of a second or later attempt, in the hundredths that the retry budget counts.
 pub(crate) const RETRY_COST: u32 = 100;
-/// Most hundredths of a retry that the budget saves up.
+/// Maximum retry budget in hundredths of an attempt.
 const RETRY_BUDGET_MAX: u32 = 50 * RETRY_COST;
 
 impl Instance {
@@ -42,8 +43,8 @@
             Ok(new_request) => new_request,
             Err(refusal) => return self.refuse_unopened(ticket, refusal, out),
         };
-        let percent = self.policy().retry_percent;
-        self.retry_budget = (self.retry_budget + percent).min(RETRY_BUDGET_MAX);
+        let retry_percent = self.policy().retry_percent;
+        self.retry_budget = (self.retry_budget + retry_percent).min(RETRY_BUDGET_MAX);
         out.push(Effect::Accept { ticket, request: new_request.id });
         let key = self.requests.open(now, new_request);
         if let Err(refusal) = self.charge(now, key) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Queues a request, or refuses it at once if it would wait longer than its class may.
+    /// Queues a request, or refuses it at once if it would wait for longer than its class may.
     pub(crate) fn admit(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         if let Some(refusal) = self.quarantine_refusal(now, key) {
             return self.refuse(now, key, refusal, out);
@@ -70,7 +71,7 @@
         self.start_queued(now, &pool, out);
     }
 
-    /// Whether there are open endpoints, full or not, for every step of a request.
+    /// Whether each step of a request has an endpoint that takes new work, full or not.
     pub(crate) fn has_endpoints(&self, now: Instant, request: &Request) -> bool {
         let roles: &[Role] = match request.kind {
             Kind::Generate { .. } => &[Role::Prefill, Role::Decode],
@@ -79,7 +80,7 @@
         roles.iter().all(|&r| self.endpoints.has_open(now, &request.pool, r))
     }
 
-    /// Why a request of which nothing ran gets no slot, and when to come back.
+    /// Why a request of which nothing ran gets no slot, with a `Retry-After` delay.
     pub(crate) fn no_slot_refusal(&self, now: Instant, request: &Request) -> Refusal {
         if !self.has_endpoints(now, request) {
             return Refusal::retryable(ErrorKind::NoEndpoint, RETRY_ELSEWHERE_AFTER);
@@ -88,8 +89,8 @@
         Refusal::retryable(ErrorKind::Overloaded, wait)
     }
 
-    /// A configuration came into force: requests that wait for endpoints that it no longer has are given up
-    /// now and not at the end of their wait.
+    /// Refuses requests for which the new configuration has no endpoints, instead of at the end of their
+    /// wait.
     pub(crate) fn refuse_unservable(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let waiting =
             self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting && !self.has_endpoints(now, r));
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Stands a request in the queue of this instance, which chooses for itself.
+    /// Puts a request into the queue of this instance, which then chooses its endpoints without the owner.
     pub(crate) fn enqueue_locally(&mut self, key: RequestKey) {
         let request = self.requests.get_mut(key);
         request.reservation = None;
@@ -130,8 +131,8 @@
         }
     }
 
-    /// How long a new request would stand in the queue: those ahead of it, at the pace at which slots of this
-    /// pool have come free lately.
+    /// Expected time of a new request in the queue: the requests ahead of it times the average time for which
+    /// requests of this pool hold a slot, divided by the slots.
     pub(crate) fn expected_wait(&self, now: Instant, request: &Request) -> Duration {
         let ahead = self.queues.get(&request.pool).map_or(0, |q| q.ahead(request.priority));
         let slots = self.endpoints.capacity(now, &request.pool, slot_role(&request.kind)).max(1);
@@ -139,7 +140,7 @@
         held * (ahead as u32) / slots
     }
 
-    /// Starts requests that wait here while there are slots.
+    /// Starts requests that wait here while there are free slots.
     pub(crate) fn start_queued(&mut self, now: Instant, pool: &str, out: &mut Vec<Effect>) {
         while let Some(key) = self.queues.get(pool).and_then(Queue::peek) {
             if !self.start(now, key, out) {
@@ -147,7 +148,7 @@
             }
             let teams = self.versions.current().map(|c| c.teams.as_slice()).unwrap_or_default();
             let taken = self.queues.get_mut(pool).and_then(|q| q.pop(|name| team_weight(teams, name)));
-            assert!(taken == Some(key), "the request that was started is the one that was next");
+            assert!(taken == Some(key), "the started request is the next one in the queue");
         }
     }
 
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Takes slots for a request and sends it; `false` if there are none.
+    /// Takes slots for a request and sends it; `false` if no slots are free.
     pub(crate) fn start(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) -> bool {
         match self.requests.get(key).kind {
             Kind::Generate { .. } => self.start_prefill(now, key, out),
@@ -178,7 +179,7 @@
         true
     }
 
-    /// Starts a prefill with a decode slot kept for its end.
+    /// Starts a prefill with a decode slot reserved for its result.
     pub(crate) fn send_prefill(
         &mut self,
         now: Instant,
@@ -231,7 +232,7 @@
         true
     }
 
-    /// Opens the next try.
+    /// Starts the next attempt.
     pub(crate) fn begin_attempt(&mut self, key: RequestKey, phase: Phase) -> &mut Request {
         let request = self.requests.get_mut(key);
         request.phase = phase;
@@ -239,7 +240,8 @@
         request
     }
 
-    /// A request that runs is looked at again only at its deadline; its driver times the steps.
+    /// A running request has no other timer here than its deadline; its driver enforces the timeouts of the
+    /// steps.
     pub(crate) fn watch_deadline(&mut self, key: RequestKey) {
         let deadline = self.requests.get(key).deadline;
         self.requests.set_due(key, deadline);
@@ -258,11 +260,11 @@
         let request = self.requests.get(key);
         let domain = &self.identity.domain;
         let mut need = Need { pool: &request.pool, role, domain, tried: &request.tried, max_load_percent };
-        let fresh = self.endpoints.choose(now, &need, &mut self.rng);
-        if fresh.is_some() || request.tried.is_empty() {
-            return fresh;
+        let untried = self.endpoints.choose(now, &need, &mut self.rng);
+        if untried.is_some() || request.tried.is_empty() {
+            return untried;
         }
-        // Every endpoint failed it once: any of them is better than none.
+        // Every endpoint has failed this request once; any of them may be chosen again.
         need.tried = &[];
         self.endpoints.choose(now, &need, &mut self.rng)
     }
@@ -286,8 +288,8 @@
         self.start_queued(now, &pool, out);
     }
 
-    /// A decode slot is kept from before the prefill, and the endpoint may have begun to leave since. What was
-    /// not yet sent there is new work to it, and goes elsewhere.
+    /// The decode slot was reserved before the prefill, and its endpoint may have started draining since. The
+    /// import would be new work for that endpoint and goes to another one.
     pub(crate) fn import_unless_leaving(
         &mut self,
         now: Instant,
@@ -363,12 +365,13 @@
         let Some(key) = self.requests.current(attempt) else {
             return;
         };
-        assert!(offset >= self.requests.get(key).offset, "output of {attempt} moved back");
+        assert!(offset >= self.requests.get(key).offset, "output offset of {attempt} decreased");
         self.record_first_token_delay(now, key);
         let request = self.requests.get_mut(key);
         request.offset = offset;
         request.first_token.get_or_insert(now);
-        // The new stream moves, so a later silence is a new fault and may be answered by a resume again.
+        // The new stream has made progress. A later stall is a new failure, after which the stream may be
+        // resumed again.
         request.resumed = false;
     }
 
@@ -406,7 +409,7 @@
         self.complete(now, key, endpoint, stored, out);
     }
 
-    /// The whole answer is with the caller.
+    /// Records that the caller has the complete response.
     pub(crate) fn complete(
         &mut self,
         now: Instant,
@@ -433,8 +436,8 @@
         self.caller_left(now, key);
         let request = self.requests.get_mut(key);
         if request.key.is_some() && matches!(request.phase, Phase::Calling { .. }) {
-            // The call is out and cannot be taken back. Its answer is awaited for the caller's retry, which
-            // will ask for it by the same key.
+            // The call has been sent and cannot be revoked. Its response is awaited for the caller's retry,
+            // which will ask for it with the same key.
             request.caller_gone = true;
             return;
         }
@@ -446,7 +449,7 @@
         self.start_queued(now, &request.pool, out);
     }
 
-    /// Frees whatever a request holds here and at endpoints, wherever it stands.
+    /// Releases all that a request holds here and at endpoints, in any phase.
     pub(crate) fn withdraw(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let request = self.requests.get(key);
         let attempt = request.attempt();
@@ -504,7 +507,7 @@
         self.release_lease(now, key, (false, true), out);
     }
 
-    /// The KV cache of a finished prefill is of no use any more.
+    /// Discards the KV cache of a finished prefill.
     pub(crate) fn discard_cache(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let Some(cache) = self.requests.get_mut(key).cache.take() else {
             return;
@@ -526,11 +529,15 @@
         }
     }
 
-    /// Gives a request its final answer without a result.
+    /// Gives a request its final response without a result.
     pub(crate) fn refuse(&mut self, now: Instant, key: RequestKey, refusal: Refusal, out: &mut Vec<Effect>) {
         let request = self.close_request(now, key);
         let not_run = refusal.kind.answer().outcome == Outcome::NotRun;
-        assert!(!(not_run && request.may_have_run()), "{} is called not run, but may have run", request.id);
+        assert!(
+            !(not_run && request.may_have_run()),
+            "{} is refused as not run, but may have run",
+            request.id
+        );
         self.count_refusal(refusal.kind);
         let outcome = if request.may_have_run() { ClaimOutcome::Unknown } else { ClaimOutcome::NotRun };
         self.remember_unclaimed(now, &request);
@@ -540,7 +547,7 @@
         }
     }
 
-    /// Requests whose wait or deadline has ended.
+    /// Refuses requests whose wait or deadline has expired.
     pub(crate) fn expire_requests(&mut self, now: Instant, out: &mut Vec<Effect>) {
         while let Some(key) = self.requests.overdue(now) {
             let request = self.requests.get(key);
@@ -578,7 +585,7 @@
     }
 }
 
-/// A team's weight; callers that the configuration does not name are one team of weight 1.
+/// Weight of a team. All callers that the configuration does not name are one team of weight 1.
 pub(crate) fn team_weight(teams: &[Team], name: &str) -> u32 {
     teams.iter().find(|t| t.name == name).map_or(1, |t| t.weight)
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,7 +1,8 @@
-//! Teams: who holds which key, and how much each may ask of all instances together.
+//! Teams: their API keys, and the limits on what each team may request from all instances together.
 //!
-//! The accounts are those of the crate `teaselshunt-teams`. Here they hear from members what these admitted, and from the
-//! membership who is alive: heartbeats go to a few neighbours only, so that a member's silence alone says nothing.
+//! The accounts are those of the crate `teaselshunt-teams`. This module feeds them with the spending reports
+//! of members and with the health of members. Health comes from the membership: heartbeats go to a few
+//! neighbours only, so that a missing heartbeat alone is no evidence.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -22,41 +23,42 @@
 use crate::message::{Message, SpendingReport};
 use crate::requests::{Kind, Request};
 
-/// Time between two tellings of what teams near their limits were admitted.
+/// Time between two spending reports about teams near their limits.
 const SPENDING_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a request's team was charged.
+/// Units that a request was charged to its team.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Charge {
     team: TeamTag,
     cost: u64,
 }
 
-/// What an operator sees of a team's limit.
+/// State of a team's limit for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TeamView {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Units a second.
+    /// Units per second.
     pub rate: u32,
-    /// Units at once.
+    /// Maximum number of units at once.
     pub burst: u32,
-    /// Units that may be admitted now, as this instance sees it; below zero while it makes up for too many.
+    /// Units that may be admitted now, as estimated by this instance; negative while too many admitted units
+    /// are compensated.
     pub level: i64,
     /// Units that this instance has admitted since its start.
     pub admitted: i64,
 }
 
-/// Who holds which key in a version.
+/// Teams and their API keys in a configuration version.
 #[derive(Debug)]
 pub struct TeamDirectory {
     /// Teams and their keys.
     pub teams: Teams,
-    /// Services whose callers need none.
+    /// Services whose callers need no key.
     pub public: HashSet<String>,
 }
 
-/// `None` where no team has a key, and callers name their team themselves.
+/// `None` if no team has a key; callers then name their team themselves.
 fn team_directory(configuration: &Configuration) -> Option<TeamDirectory> {
     if configuration.teams.iter().all(|team| team.keys.is_empty()) {
         return None;
@@ -78,18 +80,19 @@
     Team { name: Arc::from(team.name.as_str()), priority: None, unit, limit }
 }
 
-/// Limits of teams, as an instance keeps them.
+/// Limits of teams at one instance.
 #[derive(Debug)]
 pub(crate) struct Limits {
     quotas: Quotas<InstanceId>,
-    /// Teams that have one, by name.
+    /// Teams that have a limit, by name.
     teams: HashMap<String, Team>,
     next_spending_report: Instant,
     sequence: u64,
 }
 
 impl Limits {
-    /// No accounts yet. Nobody tells an instance whether the whole system starts for the first time.
+    /// Starts without accounts. An instance does not know whether the whole deployment starts for the first
+    /// time.
     pub(crate) fn new(now: Instant) -> Self {
         let quotas = Quotas::new(Duration::ZERO, QuotaMode::Shared, StartKind::Subsequent, (0, 0));
         Self { quotas, teams: HashMap::new(), next_spending_report: now, sequence: 0 }
@@ -97,17 +100,17 @@
 }
 
 impl Instance {
-    /// Who holds which key in the version in force; `None` where callers name their team themselves.
+    /// Teams and their API keys in the active configuration; `None` if callers name their team themselves.
     pub fn team_directory(&self) -> Option<TeamDirectory> {
         team_directory(self.versions.current()?)
     }
 
-    /// Time of the accounts.
+    /// Time on the clock of the accounts.
     fn account_time(&self, now: Instant) -> Duration {
         now.duration_since(self.started)
     }
 
-    /// A version came into force.
+    /// Applies the limits of a new configuration.
     pub(crate) fn set_limits(&mut self, now: Instant) {
         let teams: Vec<Team> =
             self.versions.current().map_or_else(Vec::new, |c| c.teams.iter().map(quota_team).collect());
@@ -117,7 +120,7 @@
             teams.into_iter().filter(|team| team.limit.is_some()).map(|t| (t.name.to_string(), t)).collect();
     }
 
-    /// Charges a request to its team, or says why not.
+    /// Charges a request to its team, or refuses the request.
     pub(crate) fn charge(&mut self, now: Instant, key: RequestKey) -> Result<(), Refusal> {
         let request = self.requests.get(key);
         let Some(team) = self.limits.teams.get(&request.team) else { return Ok(()) };
@@ -135,14 +138,14 @@
                 Ok(())
             }
             Err(shortage) => {
-                // Spread, so that those who were refused together do not come back together.
+                // Spread, so that callers that were refused together do not retry together.
                 let wait = shortage.wait + shortage.backlog.mul_f64(self.rng.random_range(0.0..1.0));
                 Err(Refusal::retryable(ErrorKind::QuotaExceeded, wait))
             }
         }
     }
 
-    /// A request ended. What it was charged is given back if it surely has not run.
+    /// Removes a request that has ended. Its charge is refunded if the request provably has not run.
     pub(crate) fn close_request(&mut self, now: Instant, key: RequestKey) -> Request {
         let request = self.requests.close(key);
         if let Some(charge) = request.charge.filter(|_| !request.may_have_run()) {
@@ -151,7 +154,7 @@
         request
     }
 
-    /// Looks who is alive.
+    /// Updates the accounts with the members that are alive.
     pub(crate) fn review_limits(&mut self, now: Instant) {
         let at = self.account_time(now);
         self.limits.quotas.set_listed_instances(self.members.iter().count() as u32 + 1);
@@ -163,7 +166,7 @@
         self.limits.quotas.tick(at);
     }
 
-    /// Tells the others what teams near their limits were admitted.
+    /// Sends a spending report about teams near their limits to all members.
     pub(crate) fn send_spending(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if now < self.limits.next_spending_report {
             return;
@@ -187,7 +190,7 @@
         }
     }
 
-    /// A member tells what it admitted.
+    /// Merges the spending report of a member.
     pub(crate) fn merge_spending(&mut self, now: Instant, from: InstanceId, report: SpendingReport) {
         let SpendingReport { incarnation, sequence, stopping, spent } = report;
         let hearing =
@@ -198,7 +201,7 @@
         }
     }
 
-    /// What an operator sees of the limits.
+    /// State of the limits for operators.
     pub(crate) fn team_views(&self) -> Vec<TeamView> {
         let teams = self.versions.current().map(|c| c.teams.as_slice()).unwrap_or_default();
         let view = |team: &teaselshunt_settings::Team| {
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -192,8 +192,7 @@
     pub team: String,
     /// Number of prompt tokens.
     pub prompt: u32,
-    /// Milliseconds until a prefill that has not started makes the first token late; 0 if the request is
-    /// late.
+    /// Milliseconds until the latest start that can meet the target for the first token; 0 if it has passed.
     pub first_ms: u32,
     /// Milliseconds until the requesting instance gives up.
     pub wait_ms: u32,
--- a/crates/core/src/new_request.rs
+++ b/crates/core/src/new_request.rs
@@ -1,4 +1,4 @@
-//! What a request needs, read from the configuration in force when it arrives.
+//! Derives the requirements of a new request from the active configuration.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::requests::{Kind, NewRequest};
 use crate::{RequestId, Ticket};
 
-/// Wait for a service slot: callers of plain services are quick, and so are the services.
+/// Longest wait for a service slot: plain services respond quickly, and their callers expect it.
 const SERVICE_WAIT: Duration = Duration::from_secs(2);
-/// Priority of service calls among themselves.
+/// Priority of all service calls.
 const SERVICE_PRIORITY: u8 = 0;
 
 impl Instance {
-    /// Refuses a request that was never taken in.
+    /// Refuses a request that was not accepted.
     pub(crate) fn refuse_unopened(&mut self, ticket: Ticket, refusal: Refusal, out: &mut Vec<Effect>) {
         self.count_refusal(refusal.kind);
         out.push(Effect::Refuse { ticket, refusal });
@@ -89,7 +89,8 @@
         RequestId { instance: identity.id(), incarnation: identity.incarnation, sequence: ticket.0 }
     }
 
-    /// Callers that the configuration does not name share one team, so that made-up names win nothing.
+    /// Team of a request. Callers that the configuration does not name share one team, so that invented names
+    /// give no advantage.
     pub(crate) fn known_team(&self, name: String) -> String {
         let known = self.versions.current().is_some_and(|c| c.teams.iter().any(|t| t.name == name));
         if known { name } else { String::new() }
--- a/crates/core/src/orphans.rs
+++ b/crates/core/src/orphans.rs
@@ -1,14 +1,15 @@
-//! Memory that engines hold for requests that are gone.
+//! Cancels work that engines hold for requests that have ended.
 //!
-//! Two ways lead to such memory. A caller goes away or a try is given up: then a cancel is sent, and sent
-//! again until the engine confirms it. Or an instance ends with work at engines: the engine's reports name
-//! the owner and its incarnation with every try, and any survivor that reads a report can tell that the
-//! owner's life has ended and cancel for it. Cancels are idempotent, so it does no harm if several do.
+//! Such work has two causes. First, a caller disconnects or an attempt is abandoned: a cancel is sent, and
+//! repeated until the engine confirms it. Second, an instance ends while engines work for it: the load
+//! reports of the engines name the owner and its incarnation with every attempt, and any remaining instance
+//! that receives a report can detect that the owner's incarnation has ended, and cancel the work. Cancels are
+//! idempotent, so that several instances may send them.
 //!
-//! A wrong verdict would cut off a live instance's work, so an owner counts as ended only when a later
-//! incarnation of it was heard, or when the members hold it for dead *and* the platform's list, freshly read,
-//! no longer has it live. During an outage of the platform only the first holds; the memory is then bounded
-//! by the length of the generation, which engines end by themselves.
+//! A wrong decision would cancel work of a live instance. An owner therefore counts as ended only if a later
+//! incarnation of it is known, or if it is considered dead *and* a recent read of the platform's list does
+//! not contain it as live. During an outage of the platform only the first condition can apply. Engines then
+//! hold the work until its generation ends.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,16 +19,16 @@
 use crate::members::{Health, Members};
 use crate::{AttemptId, EndpointId, InstanceId};
 
-/// Time between two sendings of an unconfirmed cancel.
+/// Time between two sends of an unconfirmed cancel.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(500);
-/// Sendings after which an unconfirmed cancel is left to the engine's next report.
+/// Number of sends after which an unconfirmed cancel is left to the engine's next load report.
 const CANCEL_SENDS_MAX: u32 = 120;
-/// How long a dead member is left in peace, for its refutation to arrive.
+/// Time that a dead member has for a refutation before its work is cancelled.
 const REFUTATION_GRACE: Duration = Duration::from_secs(5);
 
-/// Looks at every engine after the start, and polls from one to the next.
+/// Number of sweeps over all engines after the start, and the number of polls from one sweep to the next.
 const SWEEP_COUNT: u32 = 5;
-const POLLS_PER_SWEEP: u32 = 4;
+const SWEEP_INTERVAL_POLLS: u32 = 4;
 
 #[derive(Debug)]
 struct PendingCancel {
@@ -42,7 +43,7 @@
 }
 
 impl Cancels {
-    /// Notes a cancel; says whether it is new and must be sent now.
+    /// Records a cancel. Returns whether the cancel is new and must be sent now.
     pub(crate) fn begin(&mut self, now: Instant, attempt: AttemptId, endpoint: EndpointId) -> bool {
         if self.pending.contains_key(&(attempt, endpoint)) {
             return false;
@@ -74,18 +75,18 @@
     }
 }
 
-/// Whether the process that owned a try has ended, to the knowledge of this one. `fresh` says whether the
-/// list was read from the platform lately.
+/// Whether the process that owns an attempt is known to have ended. `list_is_fresh` is whether the list was
+/// read from the platform recently.
 pub(crate) fn owner_ended(
     now: Instant,
     members: &Members,
     owner: InstanceId,
     incarnation: u64,
-    fresh: bool,
+    list_is_fresh: bool,
 ) -> bool {
     let Some(member) = members.get(owner) else {
-        // An owner that was never listed may be too new for a list that lags; it is left alone.
-        return fresh && members.removed_for(now, owner).is_some_and(|d| d > REFUTATION_GRACE);
+        // An owner that was never listed may be too new for a list that lags; its work is not cancelled.
+        return list_is_fresh && members.removed_for(now, owner).is_some_and(|d| d > REFUTATION_GRACE);
     };
     if member.incarnation > incarnation {
         return true;
@@ -93,11 +94,11 @@
     let Health::Dead(since) = member.health else {
         return false;
     };
-    fresh && member.leaving && now.duration_since(since) > REFUTATION_GRACE
+    list_is_fresh && member.leaving && now.duration_since(since) > REFUTATION_GRACE
 }
 
 impl Instance {
-    /// Cancels work whose owner's life has ended; see the head of the module `orphans`.
+    /// Cancels work whose owner has ended; see the documentation of the module `orphans`.
     pub(crate) fn cancel_orphans(
         &mut self,
         now: Instant,
@@ -109,7 +110,7 @@
             return;
         };
         let target = self.endpoints.get(key).target();
-        let fresh = self.homes.list_is_fresh(now);
+        let list_is_fresh = self.homes.list_is_fresh(now);
         for running in &report.running {
             self.members
                 .observe_incarnation(running.attempt.request.instance, running.attempt.request.incarnation);
@@ -121,7 +122,7 @@
                 owner.incarnation < self.identity.incarnation
                     || (owner.incarnation == self.identity.incarnation && !self.requests.needs(attempt))
             } else {
-                owner_ended(now, &self.members, owner.instance, owner.incarnation, fresh)
+                owner_ended(now, &self.members, owner.instance, owner.incarnation, list_is_fresh)
             };
             if !orphan || !self.cancels.begin(now, attempt, endpoint) {
                 continue;
@@ -133,16 +134,16 @@
         }
     }
 
-    /// Whether to ask every engine now, for a while after the start.
+    /// Whether to poll every engine now, for a while after the start.
     ///
-    /// Engines may hold work of the former life of this instance. Whoever could have told it from live work may
-    /// be gone as well; this process itself always can.
+    /// Engines may hold work of a previous incarnation of this instance. All other instances that could
+    /// detect this may have ended too; this process itself can always detect it.
     pub(crate) fn sweep_due(&mut self) -> bool {
-        if self.pools.is_empty() || self.polls >= SWEEP_COUNT * POLLS_PER_SWEEP {
+        if self.pools.is_empty() || self.polls >= SWEEP_COUNT * SWEEP_INTERVAL_POLLS {
             return false;
         }
         self.polls += 1;
-        (self.polls - 1).is_multiple_of(POLLS_PER_SWEEP)
+        (self.polls - 1).is_multiple_of(SWEEP_INTERVAL_POLLS)
     }
 
     pub(crate) fn resend_cancels(&mut self, now: Instant, out: &mut Vec<Effect>) {
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,18 +1,20 @@
-//! Which requests are not sent to endpoints any more, because endpoints crash under them.
+//! Decides which requests are not sent to endpoints any more because endpoints crash under them.
 //!
-//! A request can crash whatever endpoint begins to run it. Its caller sends it again, under a new id and at any instance, and
-//! each time one more endpoint goes down with everything that runs there. Limits on sends hold for one id. So instances
-//! remember by its [`Fingerprint`] what a request did, and tell one another; each of them decides for itself by the same rule.
+//! A request can crash every endpoint that starts to run it. The caller sends it again, under a new id and
+//! through any instance, and each time another endpoint crashes with everything that runs there. Limits on
+//! attempts apply to one id only. Instances therefore record by [`Fingerprint`] what a request did and tell
+//! one another; each instance decides by the same rule.
 //!
-//! A crash accuses whoever ran there. Three things tell the cause from those that were only present:
-//! - a request that was answered whole a moment ago, or is answered whole later, at any instance, is innocent. What many
-//!   callers ask for is present at most crashes, and is served all the time;
-//! - a crash that a request in quarantine was present at accuses no other one;
-//! - everything is forgotten after [`CRASH_RETENTION`], so that an accusation that is wrong ends by itself. A request that was in
-//!   quarantine is then one crash away from it.
+//! A crash is attributed to every request that was running at the endpoint. Three rules separate the cause
+//! from requests that were only present:
+//! - a request that was completed shortly before, or is completed later, at any instance, is cleared. A
+//!   request that many callers send is present at most crashes and is completed all the time;
+//! - a crash at which a request in quarantine was present is not attributed to any other request;
+//! - crashes are removed after [`CRASH_RETENTION`], so that a wrong attribution ends by itself. A request
+//!   that was in quarantine is then one crash away from it.
 //!
-//! Nothing that must hold rests on what peers say: a false word makes an instance refuse a request that it has not run, or
-//! send one more request to an endpoint.
+//! No invariant depends on what peers report: a wrong report makes an instance refuse a request that it has
+//! not run, or send one more request to an endpoint.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -21,85 +23,91 @@
 
 use crate::Fingerprint;
 
-/// Crashes from which a request is in quarantine. Two can happen to a stream that was taken up once while endpoints go down
-/// for other reasons; each further one costs all callers of one more endpoint their answers.
+/// Number of crashes from which a request is in quarantine. A stream that was resumed once can be present at
+/// two crashes that have other causes. Each further crash costs all callers of one more endpoint their
+/// responses.
 const CRASH_LIMIT: usize = 3;
-/// How long a crash is remembered. With [`CRASH_LIMIT`], a request that goes on crashing endpoints takes three in this time;
-/// callers who were wrongly refused are served again after it.
+/// How long a crash is recorded. With [`CRASH_LIMIT`], a request that keeps crashing endpoints crashes three
+/// in this time; callers that were refused wrongly are served again after it.
 const CRASH_RETENTION: Duration = Duration::from_mins(10);
-/// How long a whole answer clears a request of crashes. Many callers ask for the same thing more often than that, or they are
-/// not many; a request that endpoints could serve once and cannot since their last release is found out after it.
+/// How long a complete response clears a request of crashes. Requests that many callers send are completed
+/// more often than this. A request that endpoints could complete before their last release, and cannot since,
+/// is detected after this time.
 const SUCCESS_RETENTION: Duration = Duration::from_mins(1);
-/// Whole answers that are remembered: those of [`SUCCESS_RETENTION`], at some 70 a second.
+/// Maximum number of recorded complete responses: those of [`SUCCESS_RETENTION`], at about 70 per second.
 const SUCCESSES_MAX: usize = 4096;
-/// How long peers are told of something new; several of their heartbeats, so that a lost datagram does no harm.
+/// How long a change is sent to peers. This covers several heartbeats, so that a lost datagram does no harm.
 const UPDATE_PERIOD: Duration = Duration::from_secs(3);
-/// Crashes that are remembered of one request; the latest, which decide how long it is in quarantine.
+/// Maximum number of recorded crashes of one request: the latest ones, which determine the end of its
+/// quarantine.
 const CRASHES_PER_REQUEST_MAX: usize = 8;
-/// Requests that are remembered. Crashes of some hundred endpoints at once leave no more.
+/// Maximum number of requests with recorded crashes. Simultaneous crashes of a few hundred endpoints do not
+/// exceed it.
 const REQUESTS_MAX: usize = 4096;
-/// Most crashes, and most whole answers, that one datagram tells: about a kilobyte.
+/// Maximum number of crashes, and of complete responses, in one datagram: about a kilobyte.
 const UPDATE_ENTRIES_MAX: usize = 64;
 
-/// One start of an endpoint, by a number that is the same on every instance. Two that share a number by chance count as one.
+/// One incarnation of an endpoint, by a number that is the same on every instance. Two incarnations that have
+/// the same number by chance count as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointIncarnation(pub u64);
 
-/// An endpoint crashed under a request.
+/// A crash of an endpoint under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Crash {
     /// The request.
     pub request: Fingerprint,
     /// The endpoint.
     pub endpoint: EndpointIncarnation,
-    /// When.
+    /// When the endpoint crashed.
     pub at: Instant,
 }
 
-/// A crash as peers are told of it. Instances have no clock in common, so that its time is told as an age.
+/// A crash as reported to peers. Instances have no common clock, so the report contains the age of the crash
+/// instead of its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
     pub request: Fingerprint,
     /// The endpoint.
     pub endpoint: EndpointIncarnation,
-    /// How long ago, in milliseconds.
+    /// Age of the crash in milliseconds.
     pub age_ms: u32,
 }
 
 impl CrashReport {
-    /// A crash as it is told now.
+    /// Reports a crash at `now`.
     pub fn new(now: Instant, crash: Crash) -> Self {
         let age = now.saturating_duration_since(crash.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
         Self { request: crash.request, endpoint: crash.endpoint, age_ms }
     }
 
-    /// The crash that is told of now. The machine may have started after it, and its clock may know no time so long ago;
-    /// the crash counts from `started` then, when this process began.
+    /// The reported crash. If the machine started after the crash, the clock has no earlier time; the crash
+    /// then counts from `started`, the start of this process.
     pub fn crash(self, now: Instant, started: Instant) -> Crash {
         let at = now.checked_sub(Duration::from_millis(u64::from(self.age_ms))).unwrap_or(started);
         Crash { request: self.request, endpoint: self.endpoint, at }
     }
 }
 
-/// What peers are told.
+/// Changes to send to peers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CrashUpdate {
     /// Crashes.
     pub crashes: Vec<Crash>,
-    /// Requests that were answered whole after endpoints had crashed under them.
+    /// Requests that were completed after endpoints had crashed under them.
     pub served: Vec<Fingerprint>,
 }
 
-/// Crashes under one request.
+/// Crashes attributed to one request.
 #[derive(Debug)]
 struct CrashRecord {
-    /// In the order in which they happened.
+    /// Ordered by time.
     crashes: Vec<Crash>,
-    /// When the last one was noted here.
+    /// When the last crash was recorded here.
     last_noted: Instant,
-    /// When the last one was noted that was seen here, and not told by a peer.
+    /// When the last crash was recorded that this instance observed itself.
     last_observed: Option<Instant>,
 }
 
@@ -108,14 +116,14 @@
         self.crashes.iter().any(|crash| crash.endpoint == endpoint)
     }
 
-    /// Until when the request is in quarantine.
+    /// End of the quarantine of the request.
     fn until(&self, now: Instant) -> Option<Instant> {
         let decisive = self.crashes.len().checked_sub(CRASH_LIMIT)?;
         Some(self.crashes[decisive].at + CRASH_RETENTION).filter(|&until| until > now)
     }
 }
 
-/// Requests that were answered whole lately.
+/// Requests that were completed recently.
 #[derive(Debug, Default)]
 struct RecentSuccesses {
     last: HashMap<Fingerprint, Instant>,
@@ -139,7 +147,7 @@
             && (over(at) || self.order.len() > SUCCESSES_MAX)
         {
             self.order.pop_front();
-            // A later answer to the same request stands further behind.
+            // A later completion of the same request is further back in the queue.
             if self.last.get(&request) == Some(&at) {
                 self.last.remove(&request);
             }
@@ -147,27 +155,28 @@
     }
 }
 
-/// What one instance knows of requests under which endpoints crash.
+/// Crashes and completions of requests that are known to one instance.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, CrashRecord>,
     successes: RecentSuccesses,
-    /// Requests with crashes that were answered whole here, and when.
+    /// Requests with crashes that were completed here, and when.
     cleared: Vec<(Instant, Fingerprint)>,
 }
 
 impl Quarantine {
-    /// Whether no crash is known; then no request needs to be looked up.
+    /// Whether no crash is known, so that no request needs to be looked up.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// An endpoint crashed under a request of this instance. Says whether the request is in quarantine since.
+    /// Records that an endpoint crashed under a request of this instance. Returns whether this put the
+    /// request in quarantine.
     pub fn observe_crash(&mut self, now: Instant, crash: Crash) -> bool {
         self.record_crash(now, crash, true)
     }
 
-    /// A peer says that an endpoint crashed under a request. Says whether the request is in quarantine since.
+    /// Merges a crash that a peer reports. Returns whether this put the request in quarantine.
     pub fn merge_crash(&mut self, now: Instant, crash: Crash) -> bool {
         self.record_crash(now, crash, false)
     }
@@ -204,7 +213,7 @@
         others.any(|(_, record)| record.has(crash.endpoint) && record.until(now).is_some())
     }
 
-    /// Takes the crashes at which a request was present, which is in quarantine now, from all that are not.
+    /// Removes the crashes of a request that is now in quarantine from all requests that are not.
     fn clear_others(&mut self, now: Instant, request: Fingerprint) {
         let explained: Vec<_> = self.records[&request].crashes.iter().map(|crash| crash.endpoint).collect();
         for record in self.records.values_mut().filter(|record| record.until(now).is_none()) {
@@ -212,7 +221,7 @@
         }
     }
 
-    /// A request was answered whole here.
+    /// Records that a request was completed here.
     pub fn observe_success(&mut self, now: Instant, request: Fingerprint) {
         self.successes.insert(now, request);
         if self.records.remove(&request).is_some() {
@@ -220,19 +229,20 @@
         }
     }
 
-    /// A peer says that a request under which endpoints had crashed was answered whole.
+    /// Merges a peer's report that a request was completed after endpoints had crashed under it.
     pub fn merge_success(&mut self, now: Instant, request: Fingerprint) {
         self.successes.insert(now, request);
         self.records.remove(&request);
     }
 
-    /// Until when a request is in quarantine, if it is.
+    /// End of the quarantine of a request, if the request is in quarantine.
     pub fn until(&self, now: Instant, request: Fingerprint) -> Option<Instant> {
         self.records.get(&request)?.until(now)
     }
 
-    /// What peers are told now: what was new here a moment ago, and if some of them are new, all that keeps requests in
-    /// quarantine. An instance that starts knows nothing, and is not to find out by itself.
+    /// Changes to send to peers now: recent changes observed here and, if some peers are newcomers, all
+    /// crashes that keep requests in quarantine. A new incarnation knows no crashes, and endpoints would
+    /// crash again before it refuses these requests.
     pub fn update(&self, now: Instant, newcomers: bool) -> CrashUpdate {
         let recent = |at: Instant| now.duration_since(at) < UPDATE_PERIOD;
         let told =
@@ -246,7 +256,7 @@
         CrashUpdate { crashes, served }
     }
 
-    /// Forgets what is too old.
+    /// Removes what is too old.
     pub fn expire(&mut self, now: Instant) {
         self.records.retain(|_, record| {
             record.crashes.retain(|crash| now.duration_since(crash.at) < CRASH_RETENTION);
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,13 +1,13 @@
-//! Requests that wait for a slot: by priority, then fair between teams.
+//! Requests that wait for a slot, served by priority and then fairly between teams.
 //!
-//! Within one priority, teams are served by stride scheduling: each team has a pass that grows by the
-//! inverse of its weight whenever one of its requests is taken, and the team with the lowest pass is next. A
-//! team that floods the queue waits behind its own flood; a team that was away starts at the current pass,
-//! so it neither saves up credit nor pays for its absence.
+//! Within a priority, teams are served by stride scheduling. Each team has a pass that rises by the inverse
+//! of the team's weight whenever one of its requests is served, and the team with the lowest pass is next. A
+//! team that floods the queue delays only itself. A team without waiting requests rejoins at the current
+//! pass: it neither accumulates credit nor is penalized for its absence.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Pass of a team of weight 1 for one request.
+/// Increment of the pass of a team with weight 1 per request.
 const STRIDE: u64 = 1 << 20;
 
 /// Waiting requests of one pool.
@@ -46,7 +46,7 @@
         self.length
     }
 
-    /// Requests that would be served before a new one of this priority.
+    /// Number of requests that would be served before a new one of this priority.
     pub(crate) fn ahead(&self, priority: u8) -> usize {
         let levels = self.levels.range(..=priority);
         levels.map(|(_, l)| l.teams.values().map(|t| t.waiting.len()).sum::<usize>()).sum()
@@ -58,21 +58,21 @@
         self.length += 1;
     }
 
-    /// Puts a request at the head of its team's line.
+    /// Adds a request at the front of its team's queue.
     pub(crate) fn push_front(&mut self, priority: u8, team: &str, key: K) {
         let queue = self.levels.entry(priority).or_default().team_queue(team);
         queue.waiting.push_front(key);
         self.length += 1;
     }
 
-    /// The next request, left where it is.
+    /// The next request, which stays in the queue.
     pub(crate) fn peek(&self) -> Option<K> {
         let level = self.levels.values().find(|l| !l.teams.is_empty())?;
         let (_, queue) = level.next_team()?;
         queue.waiting.front().copied()
     }
 
-    /// Takes the next request; `weight` gives a team's weight.
+    /// Removes the next request; `weight` returns a team's weight.
     pub(crate) fn pop(&mut self, weight: impl Fn(&str) -> u32) -> Option<K> {
         let level = self.levels.values_mut().find(|l| !l.teams.is_empty())?;
         let key = level.pop(weight);
@@ -80,7 +80,7 @@
         Some(key)
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request at any position; `false` if it is not in the queue.
     pub(crate) fn remove(&mut self, priority: u8, team: &str, key: K) -> bool {
         let Some(level) = self.levels.get_mut(&priority) else {
             return false;
@@ -111,7 +111,7 @@
     }
 
     fn pop(&mut self, weight: impl Fn(&str) -> u32) -> K {
-        let name = self.next_team().map(|(name, _)| name.clone()).expect("a level that is popped has a team");
+        let name = self.next_team().map(|(name, _)| name.clone()).expect("a level has at least one team");
         let queue = self.teams.get_mut(&name).expect("the team was found above");
         let key = queue.waiting.pop_front().expect("an empty team queue is removed");
         self.pass = queue.pass;
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,6 +1,6 @@
 //! The arena of requests in progress.
 //!
-//! A request is in exactly one [`Phase`], and holds exactly the slots that its phase names.
+//! A request is in exactly one [`Phase`] and holds exactly the slots that its phase names.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -11,20 +11,20 @@
 use crate::limits::Charge;
 use crate::{AttemptId, CallerKey, Fingerprint, InstanceId, RequestId, Ticket};
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Waits for the home of its idempotency key.
     Claiming,
     /// Waits for a slot.
     Waiting,
-    /// A prefill engine works on it; a decode slot is kept for it.
+    /// A prefill engine works on the request; a decode slot is reserved for it.
     Prefilling { prefill: EndpointKey, decode: EndpointKey },
-    /// Its KV cache is on its way to the decode engine.
+    /// The KV cache is being transferred to the decode engine.
     Importing { prefill: EndpointKey, decode: EndpointKey },
     /// A decode engine generates.
     Decoding { decode: EndpointKey },
-    /// A plain service works on it.
+    /// A plain service works on the request.
     Calling { endpoint: EndpointKey },
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// What the request needs, from the configuration in force when it arrived.
+/// Requirements of a request, from the active configuration at its arrival.
 #[derive(Debug, Clone)]
 pub(crate) enum Kind {
     Generate {
@@ -76,47 +76,48 @@
     /// Longest wait for a slot.
     pub(crate) wait: Duration,
     pub(crate) key: Option<CallerKey>,
-    /// What its team was charged.
+    /// Units charged to the team.
     pub(crate) charge: Option<Charge>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
     pub(crate) phase: Phase,
-    /// Number of the last try.
+    /// Number of the last attempt.
     pub(crate) attempts: u32,
-    /// Whether something of an earlier try may have reached an endpoint.
+    /// Whether any part of an earlier attempt may have reached an endpoint.
     pub(crate) maybe_reached_endpoint: bool,
     /// Tokens passed to the caller.
     pub(crate) offset: u32,
     pub(crate) first_token: Option<Instant>,
-    /// When the decode slot was taken, to learn how long slots are held.
+    /// When the decode slot was taken, to measure how long slots are held.
     pub(crate) slot_taken: Instant,
     /// When the last prefill ended.
     pub(crate) prefill_ended: Instant,
     pub(crate) cache: Option<Cache>,
-    /// Whether the stream in progress was taken up again once already.
+    /// Whether the stream was resumed and has made no progress since.
     pub(crate) resumed: bool,
     pub(crate) tried: Vec<EndpointKey>,
-    /// Whether the caller has gone and only the outcome for the idempotency key is awaited.
+    /// Whether the caller has disconnected and only the outcome for the idempotency key is awaited.
     pub(crate) caller_gone: bool,
-    /// The question to the pool's owner; without one a waiting request stands in the queue here.
+    /// Reservation requested from the pool's owner. A waiting request without one is in the local queue.
     pub(crate) reservation: Option<PendingReservation>,
-    /// The owner that gave the slots.
+    /// The owner that granted the slots.
     pub(crate) lease_owner: Option<InstanceId>,
     due: Instant,
 }
 
-/// A question to the owner of a pool's slots.
+/// A reservation requested from the owner of a pool.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingReservation {
     pub(crate) owner: InstanceId,
     pub(crate) requested: Instant,
-    /// Whether the owner has answered it.
+    /// Whether the owner has answered.
     pub(crate) acknowledged: bool,
 }
 
 impl Request {
-    /// Whether something of it may have reached an endpoint, by an earlier try or the one in progress.
+    /// Whether any part of the request may have reached an endpoint, by an earlier attempt or the current
+    /// one.
     pub(crate) fn may_have_run(&self) -> bool {
         match self.phase {
             Phase::Claiming | Phase::Waiting => self.maybe_reached_endpoint,
@@ -132,7 +133,7 @@
     }
 }
 
-/// What a request is made of.
+/// Properties of a new request.
 #[derive(Debug)]
 pub(crate) struct NewRequest {
     pub(crate) ticket: Ticket,
@@ -214,26 +215,26 @@
         self.by_ticket.get(&ticket).copied()
     }
 
-    /// The request of which this is the last try; `None` for a late event of an earlier one.
+    /// The request whose last attempt this is; `None` for a late event of an earlier attempt.
     pub(crate) fn current(&self, attempt: AttemptId) -> Option<RequestKey> {
         let key = self.find(Ticket(attempt.request.sequence))?;
         let request = &self.arena[key];
         (request.attempt() == attempt).then_some(key)
     }
 
-    /// Whether an engine should go on holding memory for the try.
+    /// Whether an engine should keep the memory that it holds for an attempt.
     pub(crate) fn needs(&self, attempt: AttemptId) -> bool {
         let Some(key) = self.find(Ticket(attempt.request.sequence)) else {
             return false;
         };
         let request = &self.arena[key];
-        // A stream that is being taken up again still runs as the try before: an engine that is asked for its load in this
-        // moment reports that one, and a cancel would end the stream under the next try.
-        let taken_up = request.resumed && attempt.number + 1 == request.attempts;
-        taken_up || request.attempt() == attempt || request.cache.is_some_and(|c| c.attempt == attempt)
+        // While a stream is being resumed, it still runs as the previous attempt. An engine that is polled at
+        // this moment reports that attempt, and a cancel would end the stream of the current one.
+        let resumed_from = request.resumed && attempt.number + 1 == request.attempts;
+        resumed_from || request.attempt() == attempt || request.cache.is_some_and(|c| c.attempt == attempt)
     }
 
-    /// Sets the time at which the request is looked at again; never later than its deadline.
+    /// Sets the next time at which the request is checked, at the latest its deadline.
     pub(crate) fn set_due(&mut self, key: RequestKey, at: Instant) {
         let request = &mut self.arena[key];
         let at = at.min(request.deadline);
@@ -242,7 +243,7 @@
         self.due.insert((at, key));
     }
 
-    /// A request whose time has come.
+    /// A request whose check is due.
     pub(crate) fn overdue(&mut self, now: Instant) -> Option<RequestKey> {
         let &(at, key) = self.due.first()?;
         if at > now {
--- a/crates/core/src/reservations.rs
+++ b/crates/core/src/reservations.rs
@@ -1,4 +1,5 @@
-//! Slot pairs by reservation: the asker's side and the owner's side. See the head of `slots`.
+//! Reservation of slot pairs, on the sides of the requesting instance and of the owner; see the documentation
+//! of `slots`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -16,16 +17,16 @@
 use crate::slots::{SlotRequest, Slots};
 use crate::{EndpointId, InstanceId, PoolId, RequestId, Ticket};
 
-/// An owner that says nothing for this long is passed over, and the asker chooses for itself. A round trip
-/// between failure domains takes a few milliseconds.
+/// An owner that does not answer for this long is unresponsive, and the requesting instance chooses endpoints
+/// itself. A round trip between failure domains takes a few milliseconds.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(300);
-/// A question that was heard is asked again after this, in case the owner has lost it.
+/// An acknowledged reservation is requested again after this time, in case the owner has lost it.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two renewals of leases.
 pub(crate) const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
-/// Factor on the learned time to the first token.
+/// Factor on the estimated time to the first token.
 const LEAD_TIME_MARGIN: f64 = 1.25;
-/// Time that a stream that broke off in the middle has for a new slot before others go first.
+/// A request whose stream broke off counts as on time if it gets new slots within this time.
 const RESTART_WINDOW: Duration = Duration::from_secs(10);
 
 impl Instance {
@@ -68,16 +69,16 @@
         self.deliver(now, owner, Message::Reserve(reserve), out);
     }
 
-    /// Time from a slot pair to the first token, as it was lately, with a margin: under overload every request
-    /// that is still in time is served at the last moment, so an estimate that is a little short makes most of
-    /// them late.
+    /// Estimated time from a slot pair to the first token, with a margin. Under overload, every request that
+    /// is still on time is served at the last moment, so that an estimate that is slightly short makes most
+    /// of them late.
     fn lead_time(&self, pool: &str, prompt_tokens: u32) -> Duration {
         let token_time = self.prefill_token_times.get(pool).copied().unwrap_or_default();
         let delay = self.first_token_delays.get(pool).copied().unwrap_or_default();
         (token_time * prompt_tokens + delay).mul_f64(LEAD_TIME_MARGIN)
     }
 
-    /// Looks after requests that wait for an owner.
+    /// Repeats, moves or falls back from reservations that wait for an owner.
     pub(crate) fn review_reservations(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let waiting = self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting);
         let pending: Vec<(RequestKey, PendingReservation)> =
@@ -102,7 +103,7 @@
         PoolId::of(&self.requests.get(key).pool)
     }
 
-    /// The owner is silent: this instance chooses for itself, as well as reports let it.
+    /// Handles an unresponsive owner: this instance chooses endpoints itself, by its own use and reports.
     fn fall_back(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         self.withdraw_reservation(now, key, out);
         let pool = self.requests.get(key).pool.clone();
@@ -111,7 +112,7 @@
         self.start_queued(now, &pool, out);
     }
 
-    /// Takes back a question.
+    /// Withdraws a reservation that was requested.
     pub(crate) fn withdraw_reservation(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let request = self.requests.get_mut(key);
         let Some(reservation) = request.reservation.take() else {
@@ -147,7 +148,7 @@
         self.deliver(now, owner, Message::Freed { pool, request: id, prefill, decode }, out);
     }
 
-    /// A request of this instance that waits for the answer of `owner`.
+    /// The request with this id if it waits for an answer of `owner`.
     fn awaiting_owner(&self, owner: InstanceId, id: RequestId) -> Option<RequestKey> {
         let key = self.requests.find(Ticket(id.sequence))?;
         let request = self.requests.get(key);
@@ -197,7 +198,7 @@
         let Some(key) = self.awaiting_owner(from, id) else {
             return self.return_reservation(now, from, (pool, id), out);
         };
-        // The owner may act on an older configuration than this instance has.
+        // The owner may use an older configuration than this instance.
         let usable = |e: Option<EndpointKey>| e.filter(|&k| !self.endpoints.is_leaving(k));
         let (Some(prefill), Some(decode)) =
             (usable(self.endpoints.find(prefill)), usable(self.endpoints.find(decode)))
@@ -211,8 +212,8 @@
         self.send_prefill(now, key, prefill, decode, out);
     }
 
-    /// Slots for a request that does not want them any more. One that holds a lease of this owner has had the
-    /// message before and keeps them.
+    /// Returns slots for a request that does not need them any more. A request that holds a lease of this
+    /// owner received the same message before and keeps its slots.
     fn return_reservation(
         &mut self,
         now: Instant,
@@ -230,7 +231,7 @@
         self.deliver(now, from, Message::Freed { pool, request: id, prefill: true, decode: true }, out);
     }
 
-    /// Lists this instance's leases to their owners.
+    /// Sends this instance's leases to their owners.
     pub(crate) fn renew_leases(&mut self, now: Instant, out: &mut Vec<Effect>) {
         if now < self.next_renew {
             return;
@@ -248,7 +249,7 @@
         }
     }
 
-    /// A question reaches this instance as the pool's owner.
+    /// Handles a request for a slot pair as the owner of the pool.
     pub(crate) fn reservation_requested(
         &mut self,
         now: Instant,
@@ -262,7 +263,7 @@
             return;
         };
         if let Some((prefill, decode)) = self.slots(pool).pair_of(request) {
-            // The grant was lost on the way.
+            // The grant was lost on the way and is sent again.
             if let (Some(prefill), Some(decode)) =
                 (self.endpoints.id_of(prefill), self.endpoints.id_of(decode))
             {
@@ -288,7 +289,7 @@
         self.slots.entry(pool).or_default()
     }
 
-    /// Hands out slots of a pool while there are requests and slots.
+    /// Grants slots of a pool while there are waiting requests and free slots.
     pub(crate) fn grant_slots(&mut self, now: Instant, pool: PoolId, out: &mut Vec<Effect>) {
         let (Some(name), Some(configuration)) =
             (self.pools.get(&pool).cloned(), self.versions.current().cloned())
@@ -308,7 +309,7 @@
             let (request, prefill, decode) =
                 (slot_request.request, self.endpoints.get(prefill).id, self.endpoints.get(decode).id);
             if slot_request.requester == self.identity.id() {
-                // Taken in after the loop: it may change these very slots.
+                // Applied after the loop, because that may change the slots of this pool.
                 self.own_reservations.push((request, prefill, decode));
             } else {
                 self.deliver(
@@ -326,7 +327,8 @@
         }
     }
 
-    /// A slot pair for the next request, rather not at endpoints that failed it.
+    /// Chooses a slot pair for the next request, if possible at endpoints at which the request has not
+    /// failed.
     fn choose_pair(
         &mut self,
         now: Instant,
@@ -380,14 +382,14 @@
         self.grant_slots(now, pool, out);
     }
 
-    /// Requests of a report that the owner of the pool does not account for.
+    /// Number of requests in a report that the owner of the pool does not account for.
     pub(crate) fn unaccounted_requests(&self, endpoint: EndpointKey, report: &EngineLoad) -> u32 {
         let slots = self.slots.get(&PoolId::of(&self.endpoints.get(endpoint).pool));
         let unknown = |r: &RequestId| slots.is_none_or(|s| !s.accounts_for(*r));
         report.running.iter().map(|r| r.attempt.request).filter(unknown).count() as u32
     }
 
-    /// Time passed for the pools owned here.
+    /// Expires leases and grants free slots in the pools owned here.
     pub(crate) fn review_slots(&mut self, now: Instant, out: &mut Vec<Effect>) {
         for pool in self.slots.keys().copied().collect::<Vec<_>>() {
             if let Some(slots) = self.slots.get_mut(&pool) {
@@ -397,7 +399,8 @@
         }
     }
 
-    /// Whether reports of a pool's engines are of use here: it is owned here, or its owner was silent lately.
+    /// Whether reports of a pool's engines are needed here: this instance owns the pool, or the owner was
+    /// unresponsive recently.
     pub(crate) fn needs_reports(&self, now: Instant, pool: &str) -> bool {
         let id = PoolId::of(pool);
         let owner_unresponsive =
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,18 +1,19 @@
-//! The owner of a pool's slots: one instance that sees every reservation and hands slots out one by one.
+//! Slots of a pool at its owner: one instance sees every reservation and grants the slots one by one.
 //!
-//! Eight instances that choose on lagging reports overbook the few decode slots, and every overbooked prefill
-//! is wasted. So each pool has an owner, the live member that rendezvous hashing picks, and whoever has a
-//! request asks it for a slot pair. The owner's knowledge is exact as far as requests go through it; reports
-//! add whatever else runs at an engine.
+//! If eight instances choose endpoints by lagging reports, they overbook the few decode slots, and every
+//! overbooked prefill is wasted. Each pool therefore has an owner: the live member that rendezvous hashing
+//! selects. Instances ask it for a slot pair for each request. The owner knows exactly the requests that go
+//! through it; reports contribute all other work at an engine.
 //!
-//! Ownership is a convenience, not a promise. Two owners for a moment, or none, cost some overbooking or a
-//! fallback to the asker's own choice; engines refuse what does not fit, and nothing that must hold at all
-//! times rests on it. Leases are renewed by one message a second that lists an instance's requests, so a lost
-//! release or a dead holder frees its slots within seconds.
+//! Ownership is an optimization without guarantees. If a pool has two owners or none for a moment, the cost
+//! is some overbooking, or requesting instances that choose endpoints themselves. Engines refuse what exceeds
+//! their capacity, and no invariant depends on the owner. Each instance renews its leases with one message
+//! per second that lists its requests, so that the slots of a lost release or of a crashed holder are free
+//! again within seconds.
 //!
-//! Order of service: requests that can still meet the target for the first token, by priority and then fair
-//! between teams; behind them those that cannot, in the same order, with one turn in [`LATE_GRANT_INTERVAL`]. Serving
-//! the oldest first under overload means serving only requests that are already too late.
+//! Requests that can still meet the target for the first token are served first, by priority and then fairly
+//! between teams. Late requests follow in the same order; one in [`LATE_GRANT_INTERVAL`] grants is theirs.
+//! Serving the oldest request first would, under overload, serve only requests that are already late.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -22,13 +23,13 @@
 use crate::queue::Queue;
 use crate::{EndpointId, InstanceId, RequestId};
 
-/// Late requests get one grant in this many while others are in time.
+/// One in this many grants goes to a late request while requests on time are waiting.
 const LATE_GRANT_INTERVAL: u32 = 12;
-/// A lease that is not renewed for this long is void.
+/// A lease that is not renewed for this long expires.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A lease younger than this may be missing in a renewal that was sent before it was granted.
+/// A lease younger than this may be missing in a renewal that was sent before the lease was granted.
 const RENEWAL_GRACE: Duration = Duration::from_secs(2);
-/// A released request may stand in reports for this long.
+/// Reports may contain a released request for this long.
 const RELEASED_RETENTION: Duration = Duration::from_secs(2);
 
 slotmap::new_key_type! {
@@ -36,18 +37,17 @@
     pub(crate) struct SlotRequestKey;
 }
 
-/// A request that asks for a slot pair.
+/// A request for a slot pair.
 #[derive(Debug, Clone)]
 pub(crate) struct SlotRequest {
     pub(crate) request: RequestId,
     pub(crate) requester: InstanceId,
     pub(crate) priority: u8,
     pub(crate) team: String,
-    /// Prompt tokens.
     pub(crate) prompt_tokens: u32,
-    /// A start after this cannot meet the target.
+    /// Latest start that can meet the target for the first token.
     pub(crate) start_by: Instant,
-    /// When the asker gives up.
+    /// When the requesting instance gives up.
     pub(crate) gives_up: Instant,
     pub(crate) tried: Vec<EndpointKey>,
     late: bool,
@@ -79,7 +79,7 @@
     by_request: HashMap<RequestId, SlotRequestKey>,
     on_time: Queue<SlotRequestKey>,
     late: Queue<SlotRequestKey>,
-    /// Grants so far, to give late requests their turn.
+    /// Number of grants, which determines when late requests are served.
     grants: u32,
     leases: BTreeMap<RequestId, Lease>,
     used: HashMap<EndpointKey, Usage>,
@@ -110,12 +110,12 @@
 }
 
 impl Slots {
-    /// Whether the request waits or holds slots here already.
+    /// Whether the request waits or holds slots here.
     pub(crate) fn knows(&self, request: RequestId) -> bool {
         self.by_request.contains_key(&request) || self.leases.contains_key(&request)
     }
 
-    /// Whether anything waits or is held here.
+    /// Whether any request waits or holds slots here.
     pub(crate) fn in_use(&self) -> bool {
         !self.requests.is_empty() || !self.leases.is_empty()
     }
@@ -124,13 +124,13 @@
         self.requests.len()
     }
 
-    /// The whole slot pair of a request, if it has one.
+    /// The slot pair of a request, if it holds both slots.
     pub(crate) fn pair_of(&self, request: RequestId) -> Option<(EndpointKey, EndpointKey)> {
         let lease = self.leases.get(&request)?;
         lease.prefill.zip(lease.decode)
     }
 
-    /// How long a request that asks now would wait behind all others: the pace of slots that come free.
+    /// Expected wait of a new request behind all others, from the average time for which a lease is held.
     pub(crate) fn expected_wait(&self, priority: u8, slots: u32) -> Duration {
         let ahead = self.on_time.ahead(priority) + self.late.ahead(priority);
         self.average_hold * (ahead as u32) / slots.max(1)
@@ -144,8 +144,8 @@
         self.on_time.push(priority, &team, key);
     }
 
-    /// The request to be served next, left where it is; those that cannot be in time any more are moved behind
-    /// those that can.
+    /// The request to be served next, which stays in its queue. Requests that cannot be on time any more are
+    /// moved behind those that can.
     pub(crate) fn peek(&mut self, now: Instant) -> Option<SlotRequestKey> {
         self.demote(now);
         let late_first = self.grants.is_multiple_of(LATE_GRANT_INTERVAL);
@@ -158,14 +158,14 @@
         &self.requests[key]
     }
 
-    /// Takes the request that was peeked at; its team is charged.
+    /// Removes the request returned by [`Slots::peek`] from its queue and charges its team.
     pub(crate) fn take(&mut self, key: SlotRequestKey, weight: impl Fn(&str) -> u32) -> SlotRequest {
         self.grants = self.grants.wrapping_add(1);
         let slot_request = self.requests.remove(key).expect("a queued request is in the arena");
         self.by_request.remove(&slot_request.request);
         let queue = if slot_request.late { &mut self.late } else { &mut self.on_time };
         let taken = queue.pop(weight);
-        assert!(taken == Some(key), "the request that is served is the one that was next");
+        assert!(taken == Some(key), "the served request is the next one in the queue");
         slot_request
     }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Drops a request that waits; `false` if it does not.
+    /// Removes a waiting request; `false` if the request does not wait.
     pub(crate) fn withdraw(&mut self, request: RequestId) -> bool {
         let Some(key) = self.by_request.remove(&request) else {
             return false;
@@ -191,7 +191,7 @@
         };
         let queue = if slot_request.late { &mut self.late } else { &mut self.on_time };
         let found = queue.remove(slot_request.priority, &slot_request.team, key);
-        assert!(found, "a waiting request stands in the queue that it is marked for");
+        assert!(found, "a waiting request is in the queue that it is marked for");
         true
     }
 
@@ -219,7 +219,7 @@
         self.released.remove(&slot_request.request);
     }
 
-    /// Gives back the prefill slot, the decode slot or both.
+    /// Releases the prefill slot, the decode slot or both.
     pub(crate) fn release(&mut self, now: Instant, request: RequestId, prefill: bool, decode: bool) {
         let Some(lease) = self.leases.get_mut(&request) else {
             return;
@@ -248,12 +248,12 @@
         self.used.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// Whether a request that a report names is accounted for here: it holds a lease, or did lately.
+    /// Whether a request in a report is accounted for here: it holds a lease, or did so recently.
     pub(crate) fn accounts_for(&self, request: RequestId) -> bool {
         self.leases.contains_key(&request) || self.released.contains_key(&request)
     }
 
-    /// An instance lists its requests: its other leases are void.
+    /// Renews the leases of the requests that an instance lists. Its other leases are released.
     pub(crate) fn renew_leases(
         &mut self,
         now: Instant,
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Drops what nobody renews or waits for.
+    /// Removes leases that were not renewed and requests whose instance has given up.
     pub(crate) fn expire(&mut self, now: Instant) {
         let void = self.leases.iter().filter(|(_, l)| now.duration_since(l.renewed) > LEASE_TIMEOUT);
         let void: Vec<RequestId> = void.map(|(&r, _)| r).collect();
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -1,8 +1,8 @@
-//! The configuration in force: accepted by number, never taken back.
+//! The active configuration: only a higher version replaces it.
 //!
-//! Versions arrive from the platform and from peers, in any order, late, twice, or from a replica that
-//! lags. The only rule is the number: a version replaces what is in force if and only if its number is
-//! higher. There is no path back, so a stale replica, a peer that slept through a change or an old message
+//! Versions arrive from the platform and from peers, in any order, late, repeatedly, or from a replica that
+//! lags. The only rule is the number: a version replaces the active one if and only if its number is higher.
+//! There is no rollback, so that a stale replica, a peer that was frozen during a change or an old message
 //! can do no harm.
 
 use std::sync::Arc;
@@ -11,23 +11,23 @@
 
 use crate::event::ConfigurationCandidate;
 
-/// What became of an offered version.
+/// Result of considering a configuration version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It is in force now.
+    /// The version is active now.
     Accepted,
-    /// It is in force already, or an older one.
+    /// The version is active already, or older than the active one.
     Stale,
-    /// It cannot be used, for this reason; what was in force stays.
+    /// The version cannot be used for this reason; the active one stays.
     Refused(String),
 }
 
-/// The version in force and its text.
+/// The active version and its text.
 #[derive(Debug)]
 pub(crate) struct Versions {
     deployment: String,
     current: Option<(Arc<Configuration>, Arc<str>)>,
-    /// Last refused number and reason, so that the same refusal is not reported on every read.
+    /// Number and reason of the last refusal, so that the same refusal is not reported after every read.
     refused: Option<(Option<u64>, String)>,
 }
 
@@ -36,7 +36,7 @@
         Self { deployment, current: None, refused: None }
     }
 
-    /// Number in force, 0 for none.
+    /// Number of the active version, 0 for none.
     pub(crate) fn number(&self) -> u64 {
         self.current.as_ref().map_or(0, |(c, _)| c.version)
     }
@@ -49,17 +49,21 @@
         self.current.as_ref().map(|(_, t)| t)
     }
 
-    /// Takes an offer in, and says what became of it. `None` if the same refusal was reported before.
+    /// Activates a version if it is valid and higher than the active one. `None` if the same refusal was
+    /// reported before.
     pub(crate) fn consider(&mut self, candidate: ConfigurationCandidate) -> Option<Verdict> {
         match candidate {
             ConfigurationCandidate::Valid { configuration, text } => self.consider_valid(configuration, text),
-            ConfigurationCandidate::Invalid { version, mistakes } => self.refuse(version, mistakes),
+            ConfigurationCandidate::Invalid { version, errors } => self.refuse(version, errors),
         }
     }
 
     fn consider_valid(&mut self, configuration: Arc<Configuration>, text: Arc<str>) -> Option<Verdict> {
         if configuration.deployment != self.deployment {
-            let cause = format!("it is for {:?}, not {:?}", configuration.deployment, self.deployment);
+            let cause = format!(
+                "configuration is for deployment {:?}, not {:?}",
+                configuration.deployment, self.deployment
+            );
             return self.refuse(Some(configuration.version), cause);
         }
         if let Some((current, _)) = &self.current {
@@ -72,12 +76,12 @@
         }
         let before = self.number();
         self.current = Some((configuration, text));
-        assert!(self.number() > before, "a version in force is only replaced by a higher one");
+        assert!(self.number() > before, "the active configuration is only replaced by a higher version");
         Some(Verdict::Accepted)
     }
 
-    /// Two contents under one number would leave two halves of the fleet apart without anyone noticing:
-    /// the second is refused loudly, and the next number heals it.
+    /// Two different configurations with the same number would divide the instances without being noticed.
+    /// The second one is therefore refused with a report, and the next number replaces both.
     fn consider_same_number(&mut self, configuration: &Arc<Configuration>) -> Option<Verdict> {
         let Some(current) = self.current() else {
             return Some(Verdict::Stale);
@@ -85,7 +89,7 @@
         if current == configuration {
             return Some(Verdict::Stale);
         }
-        let cause = "another content with this number is in force".to_owned();
+        let cause = "a different configuration with this version is active".to_owned();
         self.refuse(Some(configuration.version), cause)
     }
 
