--- a/crates/core/tests/all/claims.rs
+++ b/crates/core/tests/all/claims.rs
@@ -1,4 +1,4 @@
-//! What becomes of an idempotency key whose request ended while messages about it were still on their way.
+//! Idempotency keys whose requests end while messages about them are still in flight.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
     InstanceId, Message, Refusal, RequestId, Ticket, Work,
 };
 
-use crate::support::{Alone, OTHER, heartbeat, heartbeat_at, pair};
+use crate::support::{OTHER, SingleInstance, heartbeat, heartbeat_at, pair};
 
-/// Longer than an asker waits for a home.
-const CLAIM: Duration = Duration::from_millis(1_600);
+/// Longer than an instance waits for the home of a key.
+const AFTER_CLAIM_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-impl Alone {
-    /// A caller books with the `number`th key.
+impl SingleInstance {
+    /// A caller sends a booking with the `number`th key.
     fn book(&mut self, number: u64) -> Vec<Effect> {
-        self.book_born(number, None)
+        self.book_created_at(number, None)
     }
 
-    /// A caller books with the `number`th key, which tells when it was made.
-    fn book_born(&mut self, number: u64, born: Option<u64>) -> Vec<Effect> {
+    /// A caller sends a booking with the `number`th key, which was created at `born`.
+    fn book_created_at(&mut self, number: u64, born: Option<u64>) -> Vec<Effect> {
         let key = CallerKey { key: key(number), born };
         let work = Work::Call(Call {
             service: "fees".to_owned(),
@@ -32,7 +32,7 @@
         self.step(Event::Arrived { ticket: Ticket(number), work })
     }
 
-    /// Books with keys until the home of one is the other instance; its claim.
+    /// Sends bookings until the home of a key is the other instance; returns the claim.
     fn claim_elsewhere(&mut self) -> (IdempotencyKey, RequestId) {
         let claim = |effects: Vec<Effect>| {
             effects.into_iter().find_map(|effect| match effect {
@@ -44,19 +44,20 @@
     }
 }
 
-impl Alone {
-    /// The other instance claims the `number`th key for its request `sequence`; whom the home tells what.
+impl SingleInstance {
+    /// The other instance claims the `number`th key for its request `sequence`. Returns the answers of the
+    /// home.
     fn claim(&mut self, number: u64, sequence: u64) -> Vec<(RequestId, ClaimAnswer)> {
         let request = holder(sequence);
         let claim = Message::Claim { key: key(number), request, revision: 2, born: None };
         answers(&self.receive(claim))
     }
 
-    /// Number of a key that has its home here and is granted to the first request of the other instance.
+    /// Number of a key whose home is here and that is granted to the first request of the other instance.
     fn key_granted_to_other(&mut self) -> u64 {
-        let granted = |alone: &mut Self, number| {
-            alone.claim(number, 1);
-            // The home asks the one who would be home without it first, which answers that it knows of nothing.
+        let granted = |instance: &mut Self, number| {
+            instance.claim(number, 1);
+            // The home first asks the runner-up of the key, which answers that it has no record.
             let (key, revision) = (key(number), 2);
             let reply = Message::Inquired {
                 key,
@@ -66,7 +67,7 @@
                 lists_known: true,
                 homes: Vec::new(),
             };
-            answers(&alone.receive(reply)).contains(&(holder(1), ClaimAnswer::Granted))
+            answers(&instance.receive(reply)).contains(&(holder(1), ClaimAnswer::Granted))
         };
         (1..100).find(|&n| granted(self, n)).expect("some key has its home here")
     }
@@ -77,7 +78,7 @@
     RequestId { instance: InstanceId::of(OTHER), incarnation: 1, sequence }
 }
 
-/// What is told about claims.
+/// Answers to claims.
 fn answers(effects: &[Effect]) -> Vec<(RequestId, ClaimAnswer)> {
     let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send { message: Message::Claimed { request, answer, .. }, .. } => {
@@ -88,12 +89,12 @@
     sent.collect()
 }
 
-/// Whether a caller is told that the fate of its key is not known.
+/// Whether a caller is told that the outcome of its key is unknown.
 fn refused_as_unknown(effects: &[Effect]) -> bool {
     refusal(effects).is_some_and(|refusal| refusal.kind == ErrorKind::KeyUnknown)
 }
 
-/// What a caller is refused with.
+/// Refusal sent to a caller.
 fn refusal(effects: &[Effect]) -> Option<Refusal> {
     effects.iter().find_map(|effect| match effect {
         Effect::Refuse { refusal, .. } => Some(*refusal),
@@ -105,7 +106,7 @@
     IdempotencyKey::of("", &format!("key {number}"))
 }
 
-/// What the other instance is told of a request's fate.
+/// Outcome of a request that the other instance is told.
 fn settled(effects: &[Effect]) -> Option<ClaimOutcome> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::Settle { outcome, .. }, .. } => Some(outcome.clone()),
@@ -113,131 +114,139 @@
     })
 }
 
-/// A home is silent, and the caller is refused. The home wakes and takes up the claims that lie in its socket, which the
-/// asker repeated meanwhile; streams overtake one another. It grants the first one, hears that it is not needed and forgets
-/// it, then takes up another claim of the same request and grants it again. Whoever retries is told "in use" for as long as
-/// that grant stands: each grant of a request that ended must be answered, not the first one only.
+/// A home does not answer, and the caller is refused. The home then reads the claims in its socket, which the
+/// requesting instance repeated meanwhile; streams can be reordered. It grants the first claim, is told that
+/// the grant is not needed and drops it, then reads another claim of the same request and grants it again.
+/// Every retry is refused as "in use" while that grant exists, so every grant of an ended request must be
+/// answered and not only the first one.
 #[test]
-fn a_claim_that_is_granted_again_after_its_request_ended_is_given_back_again() {
-    let mut alone = pair();
-    let (key, request) = alone.claim_elsewhere();
-    alone.pass(CLAIM);
-    let effects = alone.step(Event::Tick);
+fn every_grant_of_an_ended_request_is_settled() {
+    let mut instance = pair();
+    let (key, request) = instance.claim_elsewhere();
+    instance.pass(AFTER_CLAIM_TIMEOUT);
+    let effects = instance.step(Event::Tick);
     assert!(effects.iter().any(|e| matches!(e, Effect::Refuse { .. })), "{effects:?}");
     for _ in 0..3 {
         let answer = ClaimAnswer::Granted;
-        let effects = alone.receive(Message::Claimed { key, request, answer });
+        let effects = instance.receive(Message::Claimed { key, request, answer });
         assert_eq!(settled(&effects), Some(ClaimOutcome::NotRun));
     }
 }
 
-/// A home asks who had a key before, and the list changes meanwhile. What it asked for was found by the former list: the
-/// new one may have made another instance home in between, which was not asked. The answer grants nothing.
+/// A home asks the previous homes of a key, and the list changes before they reply. The inquiry followed the
+/// previous list; by the new one, another instance that was not asked may have been the home in between. The
+/// reply must not lead to a grant.
 #[test]
 fn an_answer_that_was_asked_for_by_a_former_list_grants_nothing() {
-    let mut alone = pair();
-    let asks = |alone: &mut Alone, number| {
+    let mut instance = pair();
+    let inquires = |instance: &mut SingleInstance, number| {
         let claim = Message::Claim { key: key(number), request: holder(1), revision: 2, born: None };
-        let effects = alone.receive(claim);
+        let effects = instance.receive(claim);
         effects.iter().any(|e| matches!(e, Effect::Send { message: Message::Inquire { .. }, .. }))
     };
-    let number = (1..100).find(|&n| asks(&mut alone, n)).expect("some key has its home here");
-    alone.relist(3);
-    alone.receive(heartbeat_at(3));
+    let number = (1..100).find(|&n| inquires(&mut instance, n)).expect("some key has its home here");
+    instance.relist(3);
+    instance.receive(heartbeat_at(3));
     let (key, revision) = (key(number), 3);
     let homes = Vec::new();
     let reply =
         Message::Inquired { key, revision, record: None, own_grants_known: true, lists_known: true, homes };
-    let told = answers(&alone.receive(reply));
-    assert!(!told.contains(&(holder(1), ClaimAnswer::Granted)), "{told:?}");
+    let answers_sent = answers(&instance.receive(reply));
+    assert!(!answers_sent.contains(&(holder(1), ClaimAnswer::Granted)), "{answers_sent:?}");
 }
 
-/// A booking has run and its caller has the answer, but word of it to the key's home is lost with the connection. The home
-/// asks the holder when somebody else wants the key, and is told again; it would call the key in use for ever.
+/// A booking has run and its caller has the response, but the message that settles the key is lost with the
+/// connection. When another request claims the key, the home sends the grant again, and the holder must
+/// repeat the outcome. Otherwise the key stays "in use" for ever.
 #[test]
-fn the_fate_of_a_request_is_told_again_when_its_home_asks() {
-    let mut alone = pair();
-    let (key, request) = alone.claim_elsewhere();
+fn the_outcome_of_a_request_is_repeated_when_its_home_asks() {
+    let mut instance = pair();
+    let (key, request) = instance.claim_elsewhere();
     let granted = || Message::Claimed { key, request, answer: ClaimAnswer::Granted };
-    let effects = alone.receive(granted());
+    let effects = instance.receive(granted());
     let attempt = effects.iter().find_map(|e| match e {
         Effect::Call { attempt, .. } => Some(*attempt),
         _ => None,
     });
-    let attempt = attempt.expect("it is sent to a service");
-    assert_eq!(settled(&alone.receive(granted())), None, "it still runs");
+    let attempt = attempt.expect("the call is sent to a service");
+    assert_eq!(settled(&instance.receive(granted())), None, "the request still runs");
     let ran = Some(ClaimOutcome::Ran(None));
-    assert_eq!(settled(&alone.step(Event::Called { attempt, stored: None })), ran);
-    assert_eq!(settled(&alone.receive(granted())), ran);
+    assert_eq!(settled(&instance.step(Event::Called { attempt, stored: None })), ran);
+    assert_eq!(settled(&instance.receive(granted())), ran);
 }
 
-/// Word of a booking's end comes late because its holder was silent for a moment, as a busy machine makes any instance, and
-/// was taken for dead. A retry meanwhile rightly hears "unknown". Then the holder is heard again and says that the booking
-/// ran: the next retry gets its answer. With the grant forgotten at the first retry, "unknown" would stand for hours.
+/// A holder is unresponsive for a moment, as any instance on a busy machine can be, and is considered dead;
+/// its outcome arrives late. A retry meanwhile is correctly refused as "unknown". When the holder reports
+/// that the booking ran, the next retry must get the response. If the first retry removed the grant,
+/// "unknown" would last for hours.
 #[test]
-fn a_holder_that_was_silent_for_a_moment_still_settles_its_key() {
-    let mut alone = pair();
-    let number = alone.key_granted_to_other();
+fn a_holder_that_was_unresponsive_for_a_moment_still_settles_its_key() {
+    let mut instance = pair();
+    let number = instance.key_granted_to_other();
     for _ in 0..100 {
-        alone.pass(Duration::from_millis(100));
-        alone.step(Event::Tick);
+        instance.pass(Duration::from_millis(100));
+        instance.step(Event::Tick);
     }
-    let told = alone.claim(number, 2);
-    assert!(told.contains(&(holder(2), ClaimAnswer::Unknown)), "{told:?}");
-    assert!(told.contains(&(holder(1), ClaimAnswer::Granted)), "the holder is asked: {told:?}");
-    alone.receive(heartbeat());
+    let answers_sent = instance.claim(number, 2);
+    assert!(answers_sent.contains(&(holder(2), ClaimAnswer::Unknown)), "{answers_sent:?}");
+    assert!(
+        answers_sent.contains(&(holder(1), ClaimAnswer::Granted)),
+        "the holder gets its grant again: {answers_sent:?}"
+    );
+    instance.receive(heartbeat());
     let settle = Message::Settle { key: key(number), request: holder(1), outcome: ClaimOutcome::Ran(None) };
-    alone.receive(settle);
-    let told = alone.claim(number, 3);
-    assert_eq!(told, [(holder(3), ClaimAnswer::Ran(None))]);
+    instance.receive(settle);
+    let answers_sent = instance.claim(number, 3);
+    assert_eq!(answers_sent, [(holder(3), ClaimAnswer::Ran(None))]);
 }
 
-/// A home has granted a key, and word of the request's end was lost. Another try with the key asks the home, which says
-/// "in use" and reminds the holder of its grant.
+/// A home has granted a key, and the message with the outcome was lost. Another request with the key is
+/// refused as "in use", and the home must send the holder its grant again.
 #[test]
-fn a_home_reminds_the_holder_of_a_key_that_another_try_wants() {
-    let mut alone = pair();
-    let number = alone.key_granted_to_other();
-    let told = alone.claim(number, 2);
-    assert!(told.contains(&(holder(2), ClaimAnswer::InUse)), "{told:?}");
-    assert!(told.contains(&(holder(1), ClaimAnswer::Granted)), "{told:?}");
+fn a_home_repeats_the_grant_to_the_holder_when_another_request_claims_the_key() {
+    let mut instance = pair();
+    let number = instance.key_granted_to_other();
+    let answers_sent = instance.claim(number, 2);
+    assert!(answers_sent.contains(&(holder(2), ClaimAnswer::InUse)), "{answers_sent:?}");
+    assert!(answers_sent.contains(&(holder(1), ClaimAnswer::Granted)), "{answers_sent:?}");
 }
 
-/// The only instance of a fleet is started again. It remembers no key that its former start granted, and nobody else can:
-/// a key that may be older than the start must not be granted, or a booking that ran would run again.
+/// The only instance of a deployment restarts. Neither it nor another instance knows the grants of its
+/// previous incarnation. A key that may be older than the restart must not be granted, or a booking that ran
+/// would run again.
 #[test]
 fn an_instance_that_starts_alone_grants_no_key_that_may_be_older() {
-    let mut alone = Alone::only_listed();
-    alone.run_for(Duration::from_secs(20));
-    assert!(refused_as_unknown(&alone.book(1)));
-    assert!(refused_as_unknown(&alone.book_born(2, Some(0))));
-    let now_ms = alone.wall();
-    let effects = alone.book_born(3, Some(now_ms));
+    let mut instance = SingleInstance::only_listed();
+    instance.run_for(Duration::from_secs(20));
+    assert!(refused_as_unknown(&instance.book(1)));
+    assert!(refused_as_unknown(&instance.book_created_at(2, Some(0))));
+    let now_ms = instance.unix_ms();
+    let effects = instance.book_created_at(3, Some(now_ms));
     assert!(effects.iter().any(|e| matches!(e, Effect::Call { .. })), "{effects:?}");
 }
 
-/// A caller's clock is ahead. It made a key and its booking ran before its home was killed and started again, though the key
-/// looks younger than the start: granted again, the booking would run twice.
+/// A caller's clock is ahead. Its booking ran before the home crashed and restarted, although the key appears
+/// to have been created after the restart. If the key were granted again, the booking would run twice.
 #[test]
 fn a_key_that_a_clock_ahead_may_have_made_before_the_start_is_not_granted() {
-    let mut alone = Alone::only_listed();
-    let skew = alone.configuration.policy.skew_ms;
-    let started = alone.wall();
-    alone.run_for(Duration::from_secs(20));
-    assert!(refused_as_unknown(&alone.book_born(1, Some(started + skew))));
+    let mut instance = SingleInstance::only_listed();
+    let skew = instance.configuration.policy.skew_ms;
+    let started = instance.unix_ms();
+    instance.run_for(Duration::from_secs(20));
+    assert!(refused_as_unknown(&instance.book_created_at(1, Some(started + skew))));
 }
 
-/// A caller's key may have been granted by a former start of its home, and nobody will ever know. Told to come back in two
-/// seconds, it came back in vain for a quarter of an hour; it must hear that coming back does not help. While the home
-/// only cannot grant yet, it does.
+/// A key may have been granted by a previous incarnation of its home, and its outcome will never be known. A
+/// caller that was told to retry after two seconds retried in vain for a quarter of an hour, so the refusal
+/// must not ask for a retry. While the home only cannot grant the key yet, the refusal must ask for a retry.
 #[test]
 fn a_caller_whose_key_will_never_be_told_is_not_told_to_come_back() {
-    let mut alone = Alone::only_listed();
-    alone.run_for(Duration::from_secs(20));
-    assert_eq!(refusal(&alone.book(1)), Some(Refusal::new(ErrorKind::KeyUnknown)));
-    let mut alone = pair();
-    alone.claim_elsewhere();
-    alone.pass(CLAIM);
-    let silent = refusal(&alone.step(Event::Tick)).expect("its home is silent");
-    assert!(silent.kind == ErrorKind::KeyUnknown && silent.retry_after.is_some(), "{silent:?}");
+    let mut instance = SingleInstance::only_listed();
+    instance.run_for(Duration::from_secs(20));
+    assert_eq!(refusal(&instance.book(1)), Some(Refusal::new(ErrorKind::KeyUnknown)));
+    let mut instance = pair();
+    instance.claim_elsewhere();
+    instance.pass(AFTER_CLAIM_TIMEOUT);
+    let unanswered = refusal(&instance.step(Event::Tick)).expect("its home does not answer");
+    assert!(unanswered.kind == ErrorKind::KeyUnknown && unanswered.retry_after.is_some(), "{unanswered:?}");
 }
--- a/crates/core/tests/all/crashes.rs
+++ b/crates/core/tests/all/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines crash, on the product's own interface.
+//! Requests under which engines crash, through the public interface of an instance.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     InstanceId, Message, Running, StepFailure, Target, Ticket,
 };
 
-use crate::support::{Alone, prefill};
+use crate::support::{SingleInstance, prefill};
 
 const BAD: Fingerprint = Fingerprint(1_000_000);
 const GOOD: Fingerprint = Fingerprint(2_000_000);
@@ -20,7 +20,7 @@
     })
 }
 
-/// Engines that are asked whether they live.
+/// The engine that is polled among effects.
 fn polled(effects: &[Effect]) -> Option<Target> {
     effects.iter().find_map(|e| match e {
         Effect::Poll { target } => Some(*target),
@@ -28,90 +28,95 @@
     })
 }
 
-/// A prefill engine goes down under this try: its connections break, and it does not answer afterwards.
-fn crash(alone: &mut Alone, attempt: AttemptId) -> Vec<Effect> {
-    let mut effects = alone.step(Event::Failed { attempt, failure: StepFailure::Broken, offset: 0 });
-    let target = polled(&effects).expect("the engine is asked whether it lives");
-    effects.extend(alone.step(Event::Unreported { endpoint: target.id }));
+/// A prefill engine crashes under this attempt: its connections break, and it does not answer afterwards.
+fn crash(instance: &mut SingleInstance, attempt: AttemptId) -> Vec<Effect> {
+    let mut effects = instance.step(Event::Failed { attempt, failure: StepFailure::Broken, offset: 0 });
+    let target = polled(&effects).expect("the engine is polled");
+    effects.extend(instance.step(Event::Unreported { endpoint: target.id }));
     effects
 }
 
-/// One request crashes each engine that begins to read its prompt. Its caller sends it again and again, under a new id each
-/// time. Each sending may be tried at more than one engine, and all limits hold for one sending: nothing kept the next one
-/// from the next engine. After three crashes it is refused as not run, and other requests are served.
+/// A request crashes each engine that starts its prefill. The caller sends the request repeatedly, under a
+/// new id each time, and each of these requests may be attempted at several engines. Limits on attempts apply
+/// to one id, so they did not protect the next engine. After three crashes the request must be refused as not
+/// run, while other requests are served.
 #[test]
 fn a_request_that_crashes_engines_is_refused_under_any_id() {
-    let mut alone = Alone::start();
+    let mut instance = SingleInstance::start();
     let (mut ticket, mut crashes) = (0, 0);
     while crashes < 3 {
         ticket += 1;
-        let mut next = prefill(&alone.ask(ticket, BAD));
+        let mut next = prefill(&instance.ask(ticket, BAD));
         while let Some(attempt) = next {
-            next = prefill(&crash(&mut alone, attempt));
+            next = prefill(&crash(&mut instance, attempt));
             crashes += 1;
-            alone.pass(Duration::from_millis(10));
+            instance.pass(Duration::from_millis(10));
         }
     }
-    assert!(crashes <= 4, "a try that had begun when the third one crashed is the last: {crashes}");
-    assert_eq!(refused(&alone.ask(ticket + 1, BAD)), Some(ErrorKind::Quarantined));
-    alone.pass(Duration::from_secs(3));
-    assert!(prefill(&alone.ask(ticket + 2, GOOD)).is_some(), "others are served");
+    assert!(crashes <= 4, "only an attempt that started before the third crash may follow it: {crashes}");
+    assert_eq!(refused(&instance.ask(ticket + 1, BAD)), Some(ErrorKind::Quarantined));
+    instance.pass(Duration::from_secs(3));
+    assert!(prefill(&instance.ask(ticket + 2, GOOD)).is_some(), "other requests are served");
 }
 
-/// Engines lose answers again and again, and report that they live. No crash is seen, and the request is never refused for it.
+/// Engines repeatedly break responses but answer polls of their load. No crash is observed, and the request
+/// must never be refused because of crashes.
 #[test]
-fn engines_that_live_have_not_crashed() {
-    let mut alone = Alone::start();
+fn engines_that_answer_polls_have_not_crashed() {
+    let mut instance = SingleInstance::start();
     for ticket in 1..6 {
-        let mut next = prefill(&alone.ask(ticket, BAD));
+        let mut next = prefill(&instance.ask(ticket, BAD));
         while let Some(attempt) = next {
-            let effects = alone.step(Event::Failed { attempt, failure: StepFailure::Broken, offset: 0 });
-            let target = polled(&effects).expect("the engine is asked whether it lives");
-            alone.step(Event::Reported { endpoint: target.id, report: EngineLoad::default() });
+            let effects = instance.step(Event::Failed { attempt, failure: StepFailure::Broken, offset: 0 });
+            let target = polled(&effects).expect("the engine is polled");
+            instance.step(Event::Reported { endpoint: target.id, report: EngineLoad::default() });
             next = prefill(&effects);
         }
-        alone.pass(Duration::from_secs(3));
+        instance.pass(Duration::from_secs(3));
     }
-    assert_ne!(refused(&alone.ask(6, BAD)), Some(ErrorKind::Quarantined));
+    assert_ne!(refused(&instance.ask(6, BAD)), Some(ErrorKind::Quarantined));
 }
 
-/// Other instances saw the crashes and tell of them; this one has seen nothing, and refuses all the same.
+/// Other instances observe the crashes and report them. An instance that observed none must refuse the
+/// request too.
 #[test]
-fn what_others_saw_counts_here() {
-    let mut alone = Alone::start();
+fn crashes_that_peers_report_count() {
+    let mut instance = SingleInstance::start();
     let report = |number| CrashReport { request: BAD, endpoint: EndpointIncarnation(number), age_ms: 100 };
     let crashes = (1..=3).map(report).collect();
     let message = Message::Crashes { crashes, served: Vec::new() };
-    alone.step(Event::Received { from: InstanceId::of("other"), message });
-    assert_eq!(refused(&alone.ask(1, BAD)), Some(ErrorKind::Quarantined));
+    instance.step(Event::Received { from: InstanceId::of("other"), message });
+    assert_eq!(refused(&instance.ask(1, BAD)), Some(ErrorKind::Quarantined));
     let message = Message::Crashes { crashes: Vec::new(), served: vec![BAD] };
-    alone.step(Event::Received { from: InstanceId::of("other"), message });
-    assert!(prefill(&alone.ask(2, BAD)).is_some(), "it was answered elsewhere");
+    instance.step(Event::Received { from: InstanceId::of("other"), message });
+    assert!(prefill(&instance.ask(2, BAD)).is_some(), "the request was completed at another instance");
 }
 
-/// A stream stalls and is taken up again at the same engine, which is asked at once whether it lives. Its report names the try
-/// before. That one is no left-over: it is the stream that the next try takes up, and a cancel would end it.
+/// A stream stalls and is resumed at the same engine, which is polled at once. Its load report names the
+/// previous attempt. That attempt is not an orphan, because the current attempt resumes its stream; a cancel
+/// would end the stream.
 #[test]
-fn a_report_does_not_end_a_stream_that_is_taken_up() {
-    let mut alone = Alone::start();
-    let attempt = alone.arrive(1);
-    alone.step(Event::Prefilled { attempt, bytes: 1, cached: 0 });
-    alone.step(Event::Imported { attempt });
-    let effects = alone.step(Event::Failed { attempt, failure: StepFailure::Stalled, offset: 0 });
-    let target = polled(&effects).expect("the engine is asked whether it lives");
+fn a_load_report_does_not_end_a_resumed_stream() {
+    let mut instance = SingleInstance::start();
+    let attempt = instance.arrive(1);
+    instance.step(Event::Prefilled { attempt, bytes: 1, cached: 0 });
+    instance.step(Event::Imported { attempt });
+    let effects = instance.step(Event::Failed { attempt, failure: StepFailure::Stalled, offset: 0 });
+    let target = polled(&effects).expect("the engine is polled");
     assert!(effects.iter().any(|e| matches!(e, Effect::Decode { resume: Some(r), .. } if *r == attempt)));
     let report = EngineLoad { running: vec![Running { attempt }], ..EngineLoad::default() };
-    let effects = alone.step(Event::Reported { endpoint: target.id, report });
+    let effects = instance.step(Event::Reported { endpoint: target.id, report });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Cancel { .. })), "{effects:?}");
 }
 
-/// The caller of a request leaves, and a moment later the engine goes down under it. The instance has cancelled it by then and
-/// loses nothing of it, so that only others who ran there were accused.
+/// The caller of a request disconnects, and its engine crashes a moment later. The instance has cancelled the
+/// request by then and does not observe a failure of it, so the crash was attributed only to other requests
+/// at the engine.
 #[test]
 fn a_request_whose_caller_left_is_accused_of_the_crash() {
-    let mut alone = Alone::start();
-    let begin = |alone: &mut Alone, ticket, fingerprint| {
-        let effects = alone.ask(ticket, fingerprint);
+    let mut instance = SingleInstance::start();
+    let begin = |instance: &mut SingleInstance, ticket, fingerprint| {
+        let effects = instance.ask(ticket, fingerprint);
         effects.iter().find_map(|e| match e {
             Effect::Prefill { attempt, target, .. } => Some((*attempt, target.id)),
             _ => None,
@@ -120,17 +125,17 @@
     let mut ticket = 0;
     for _ in 0..3 {
         ticket += 1;
-        let (_, engine) = begin(&mut alone, ticket, BAD).expect("there is room");
-        alone.step(Event::CallerGone { ticket: Ticket(ticket) });
+        let (_, engine) = begin(&mut instance, ticket, BAD).expect("a slot is free");
+        instance.step(Event::CallerGone { ticket: Ticket(ticket) });
         let witness = loop {
             ticket += 1;
-            let (attempt, other) = begin(&mut alone, ticket, Fingerprint(ticket)).expect("there is room");
+            let (attempt, other) = begin(&mut instance, ticket, Fingerprint(ticket)).expect("a slot is free");
             if other == engine {
                 break attempt;
             }
         };
-        crash(&mut alone, witness);
-        alone.pass(Duration::from_secs(6));
+        crash(&mut instance, witness);
+        instance.pass(Duration::from_secs(6));
     }
-    assert_eq!(refused(&alone.ask(ticket + 1, BAD)), Some(ErrorKind::Quarantined));
+    assert_eq!(refused(&instance.ask(ticket + 1, BAD)), Some(ErrorKind::Quarantined));
 }
--- a/crates/core/tests/all/limits.rs
+++ b/crates/core/tests/all/limits.rs
@@ -1,23 +1,23 @@
-//! Limits of teams over members that have nothing to tell.
+//! Limits of teams when other members have no spending to report.
 
 use std::time::Duration;
 
 use teaselshunt_core::{Call, Effect, ErrorKind, Event, Fingerprint, Ticket, Work};
 use teaselshunt_settings::{Team, TeamLimit, TeamUnit};
 
-use crate::support::{Alone, heartbeat, pair};
+use crate::support::{SingleInstance, heartbeat, pair};
 
-/// Lets time pass in which the other member is heard.
-fn pass_with_heartbeats(alone: &mut Alone, seconds: u32) {
+/// Lets time pass while heartbeats of the other member arrive.
+fn pass_with_heartbeats(instance: &mut SingleInstance, seconds: u32) {
     for _ in 0..seconds * 10 {
-        alone.pass(Duration::from_millis(100));
-        alone.receive(heartbeat());
-        alone.step(Event::Tick);
+        instance.pass(Duration::from_millis(100));
+        instance.receive(heartbeat());
+        instance.step(Event::Tick);
     }
 }
 
-/// Calls of the team that are not refused for its limit.
-fn admitted(alone: &mut Alone, tickets: std::ops::Range<u64>) -> usize {
+/// Number of calls of the team that are not refused because of its limit.
+fn admitted(instance: &mut SingleInstance, tickets: std::ops::Range<u64>) -> usize {
     let refused = |effects: &[Effect]| {
         let limit = |e: &Effect| matches!(e, Effect::Refuse { refusal, .. } if refusal.kind == ErrorKind::QuotaExceeded);
         effects.iter().any(limit)
@@ -31,21 +31,21 @@
             fingerprint: Fingerprint(ticket),
             deadline: Duration::from_secs(5),
         });
-        alone.step(Event::Arrived { ticket: Ticket(ticket), work })
+        instance.step(Event::Arrived { ticket: Ticket(ticket), work })
     });
     let effects: Vec<_> = calls.collect();
     effects.iter().filter(|effects| !refused(effects)).count()
 }
 
-/// All callers of a team come through one instance. The other members are alive and have nothing to tell of it: the team gets
-/// its whole limit, and not the part of one instance.
+/// All callers of a team use one instance. The other members are alive and have no spending of the team to
+/// report. The team must get its whole limit and not the share of one instance.
 #[test]
 fn a_team_gets_its_whole_limit_through_one_instance() {
-    let mut alone = pair();
-    pass_with_heartbeats(&mut alone, 6);
+    let mut instance = pair();
+    pass_with_heartbeats(&mut instance, 6);
     let limit = TeamLimit { unit: TeamUnit::Requests, rate: 1, burst: 10, plain: 0 };
     let crew = Team { name: "crew".to_owned(), weight: 1, keys: Vec::new(), limit: Some(limit) };
-    alone.change(|configuration| configuration.teams.push(crew));
-    pass_with_heartbeats(&mut alone, 1);
-    assert_eq!(admitted(&mut alone, 100..120), 10);
+    instance.change(|configuration| configuration.teams.push(crew));
+    pass_with_heartbeats(&mut instance, 1);
+    assert_eq!(admitted(&mut instance, 100..120), 10);
 }
--- a/crates/core/tests/all/main.rs
+++ b/crates/core/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! One instance of the decision core, driven event by event.
+//! One instance of the decision core, driven by events.
 
 mod claims;
 mod crashes;
--- a/crates/core/tests/all/quarantine.rs
+++ b/crates/core/tests/all/quarantine.rs
@@ -1,7 +1,9 @@
-//! Requests under which endpoints crash: who is accused, who is not, for how long, and what peers are told.
+//! Requests under which endpoints crash: to which requests crashes are attributed, for how long, and what
+//! peers are told.
 //!
-//! The pattern is a caller who sends the same request again every second or so, under new ids and at any instance. Limits come
-//! from the aim: three endpoints may crash before anybody can know, and none after it was told.
+//! The pattern is a caller that sends the same request about every second, under new ids and through any
+//! instance. The limits follow from the goal: three endpoints may crash before an instance can detect the
+//! cause, and none after the instance was told.
 
 use std::time::{Duration, Instant};
 
@@ -10,19 +12,20 @@
 
 const BAD: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
-/// How long crashes are remembered.
-const MEMORY: Duration = Duration::from_mins(10);
+/// How long crashes are recorded.
+const CRASH_RETENTION: Duration = Duration::from_mins(10);
 
 fn crash(request: Fingerprint, endpoint: u32, at: Instant) -> Crash {
     Crash { request, endpoint: EndpointIncarnation(u64::from(endpoint)), at }
 }
 
 fn before(now: Instant, seconds: u64) -> Instant {
-    now.checked_sub(Duration::from_secs(seconds)).expect("tests begin late enough")
+    now.checked_sub(Duration::from_secs(seconds)).expect("the clock is late enough")
 }
 
-/// An instance that saw endpoints 1 to `count` crash under [`BAD`], a second apart, the last one now.
-fn seen(count: u32, now: Instant) -> Quarantine {
+/// An instance that observed crashes of endpoints 1 to `count` under [`BAD`], one second apart, the last one
+/// now.
+fn observed(count: u32, now: Instant) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for endpoint in 1..=count {
         let at = before(now, u64::from(count - endpoint));
@@ -31,35 +34,35 @@
     quarantine
 }
 
-fn hear(quarantine: &mut Quarantine, now: Instant, news: &CrashUpdate) {
-    for &request in &news.served {
+fn merge(quarantine: &mut Quarantine, now: Instant, update: &CrashUpdate) {
+    for &request in &update.served {
         quarantine.merge_success(now, request);
     }
-    for &crash in &news.crashes {
+    for &crash in &update.crashes {
         quarantine.merge_crash(now, crash);
     }
 }
 
-fn is_in(quarantine: &Quarantine, now: Instant, request: Fingerprint) -> bool {
+fn is_quarantined(quarantine: &Quarantine, now: Instant, request: Fingerprint) -> bool {
     quarantine.until(now, request).is_some()
 }
 
 #[test]
 fn the_third_endpoint_puts_a_request_in_quarantine() {
-    let now = Instant::now() + MEMORY;
-    assert!(!is_in(&seen(2, now), now, BAD));
-    let mut quarantine = seen(2, now);
-    assert!(!quarantine.observe_crash(now, crash(BAD, 2, now)), "the same start of an endpoint crashes once");
+    let now = Instant::now() + CRASH_RETENTION;
+    assert!(!is_quarantined(&observed(2, now), now, BAD));
+    let mut quarantine = observed(2, now);
+    assert!(!quarantine.observe_crash(now, crash(BAD, 2, now)), "an incarnation of an endpoint crashes once");
     assert!(quarantine.observe_crash(now, crash(BAD, 3, now)));
-    assert!(is_in(&quarantine, now, BAD));
-    assert!(!is_in(&quarantine, now, OTHER));
+    assert!(is_quarantined(&quarantine, now, BAD));
+    assert!(!is_quarantined(&quarantine, now, OTHER));
 }
 
-/// Three instances see one crash each. None of them alone has a reason to refuse the request; what they tell one another
-/// is one, at each of them.
+/// Three instances observe one crash each, which is no reason to refuse the request at any of them. After
+/// they exchange updates, each of them must refuse it.
 #[test]
-fn instances_that_saw_one_crash_each_know_it_together() {
-    let now = Instant::now() + MEMORY;
+fn instances_combine_the_crashes_that_each_observed() {
+    let now = Instant::now() + CRASH_RETENTION;
     let mut instances: Vec<Quarantine> = (1..=3)
         .map(|endpoint| {
             let mut quarantine = Quarantine::default();
@@ -67,67 +70,70 @@
             quarantine
         })
         .collect();
-    let tellings: Vec<CrashUpdate> = instances.iter().map(|i| i.update(now, false)).collect();
+    let updates: Vec<CrashUpdate> = instances.iter().map(|i| i.update(now, false)).collect();
     for instance in &mut instances {
-        for news in &tellings {
-            hear(instance, now, news);
+        for update in &updates {
+            merge(instance, now, update);
         }
     }
-    assert!(instances.iter().all(|i| is_in(i, now, BAD)));
+    assert!(instances.iter().all(|i| is_quarantined(i, now, BAD)));
 }
 
-/// An instance sees a crash, and a moment later it is told of another one by a peer. Its own is still told: a datagram that
-/// was lost in this moment is made good by the next one.
+/// An instance observes a crash, and a moment later a peer reports another one. The instance must still send
+/// its own crash, so that a lost datagram is followed by another one.
 #[test]
-fn a_crash_is_told_on_after_a_peer_has_told_another() {
-    let now = Instant::now() + MEMORY;
-    let mut quarantine = seen(1, now);
+fn an_observed_crash_is_sent_after_a_peer_reported_another() {
+    let now = Instant::now() + CRASH_RETENTION;
+    let mut quarantine = observed(1, now);
     quarantine.merge_crash(now, crash(BAD, 9, now));
     let later = now + Duration::from_secs(1);
-    let told = quarantine.update(later, false).crashes;
-    assert!(told.iter().any(|c| c.endpoint == EndpointIncarnation(1)), "{told:?}");
+    let sent = quarantine.update(later, false).crashes;
+    assert!(sent.iter().any(|c| c.endpoint == EndpointIncarnation(1)), "{sent:?}");
     let over = now + Duration::from_secs(5);
-    assert!(quarantine.update(over, false).crashes.is_empty(), "everybody knows it by then");
+    assert!(quarantine.update(over, false).crashes.is_empty(), "every peer has been sent the crash");
 }
 
-/// An instance starts again while callers go on sending a request that is in quarantine. It is told at once, by any peer,
-/// also by one that saw none of the crashes, and need not lose three endpoints to find out.
+/// An instance restarts while callers keep sending a request that is in quarantine. Any peer, including one
+/// that observed none of the crashes, must report the quarantine at once, so that the instance does not lose
+/// three endpoints first.
 #[test]
-fn an_instance_that_starts_is_told_what_is_in_quarantine() {
-    let now = Instant::now() + MEMORY;
+fn a_new_instance_is_sent_all_quarantines() {
+    let now = Instant::now() + CRASH_RETENTION;
     let mut peer = Quarantine::default();
-    hear(&mut peer, now, &seen(3, now).update(now, false));
+    merge(&mut peer, now, &observed(3, now).update(now, false));
     let later = now + Duration::from_mins(2);
-    assert!(peer.update(later, false).crashes.is_empty(), "nothing is new");
-    let mut fresh = Quarantine::default();
-    hear(&mut fresh, later, &peer.update(later, true));
-    assert!(is_in(&fresh, later, BAD));
+    assert!(peer.update(later, false).crashes.is_empty(), "there is no recent change");
+    let mut newcomer = Quarantine::default();
+    merge(&mut newcomer, later, &peer.update(later, true));
+    assert!(is_quarantined(&newcomer, later, BAD));
 }
 
-/// What many callers ask for is in progress at every endpoint that goes down. It was answered a moment before, or is answered
-/// by the endpoints that are left: no crash speaks against it, and nobody is refused what is served all the time.
+/// A request that many callers send is in progress at every endpoint that crashes. It was completed a moment
+/// before, or is completed by the remaining endpoints. No crash may be attributed to it, and its callers must
+/// not be refused.
 #[test]
-fn a_request_that_is_answered_is_innocent() {
-    let now = Instant::now() + MEMORY;
+fn a_request_that_is_completed_is_cleared() {
+    let now = Instant::now() + CRASH_RETENTION;
     let mut quarantine = Quarantine::default();
     quarantine.observe_success(before(now, 20), BAD);
     for endpoint in 1..=9 {
         quarantine.observe_crash(now, crash(BAD, endpoint, now));
     }
-    assert!(!is_in(&quarantine, now, BAD), "it was answered before");
-    let mut quarantine = seen(3, now);
+    assert!(!is_quarantined(&quarantine, now, BAD), "the request was completed before");
+    let mut quarantine = observed(3, now);
     quarantine.observe_success(now, BAD);
-    assert!(!is_in(&quarantine, now, BAD), "it is answered after");
-    let mut peer = seen(3, now);
-    hear(&mut peer, now, &quarantine.update(now, false));
-    assert!(!is_in(&peer, now, BAD), "it is answered elsewhere");
+    assert!(!is_quarantined(&quarantine, now, BAD), "the request is completed afterwards");
+    let mut peer = observed(3, now);
+    merge(&mut peer, now, &quarantine.update(now, false));
+    assert!(!is_quarantined(&peer, now, BAD), "the request is completed at another instance");
 }
 
-/// A stream runs beside the crashing request at three engines, taken up each time. It is not to blame: once the crashing one is
-/// in quarantine, these crashes count against no other, whether they are noted before or after that.
+/// A stream runs beside the crashing request at three engines and is resumed each time. When the crashing
+/// request is in quarantine, these crashes must not be attributed to any other request, whether they are
+/// recorded before or after that.
 #[test]
-fn bystanders_are_not_accused() {
-    let now = Instant::now() + MEMORY;
+fn crashes_are_not_attributed_to_bystanders() {
+    let now = Instant::now() + CRASH_RETENTION;
     let mut quarantine = Quarantine::default();
     for endpoint in 1..=3 {
         let first = if endpoint % 2 == 0 { [OTHER, BAD] } else { [BAD, OTHER] };
@@ -135,33 +141,33 @@
             quarantine.observe_crash(now, crash(request, endpoint, now));
         }
     }
-    assert!(is_in(&quarantine, now, BAD));
-    assert!(!is_in(&quarantine, now, OTHER));
+    assert!(is_quarantined(&quarantine, now, BAD));
+    assert!(!is_quarantined(&quarantine, now, OTHER));
     quarantine.observe_crash(now, crash(OTHER, 4, now));
     quarantine.observe_crash(now, crash(OTHER, 5, now));
-    assert!(!is_in(&quarantine, now, OTHER), "two crashes are its own");
+    assert!(!is_quarantined(&quarantine, now, OTHER), "only two crashes are attributed to the request");
 }
 
-/// A request was refused for the time that crashes are remembered. It is tried again then; if it was accused wrongly its caller
-/// is served, and if not, one endpoint is lost and not three.
+/// A request was refused for as long as crashes are recorded, and is attempted again afterwards. If the
+/// crashes were attributed wrongly, its caller is served; if not, one endpoint crashes and not three.
 #[test]
 fn quarantine_ends_and_one_more_crash_renews_it() {
     let start = Instant::now();
     let now = start + Duration::from_secs(2);
-    let mut quarantine = seen(3, now);
-    let end = quarantine.until(now, BAD).expect("it is in quarantine");
-    assert_eq!(end, start + MEMORY, "no more than three in this time");
+    let mut quarantine = observed(3, now);
+    let end = quarantine.until(now, BAD).expect("the request is in quarantine");
+    assert_eq!(end, start + CRASH_RETENTION, "at most three crashes in this time");
     quarantine.expire(end);
-    assert!(!is_in(&quarantine, end, BAD));
+    assert!(!is_quarantined(&quarantine, end, BAD));
     quarantine.observe_crash(end, crash(BAD, 4, end));
-    assert!(is_in(&quarantine, end, BAD));
+    assert!(is_quarantined(&quarantine, end, BAD));
 }
 
-/// Hundreds of endpoints crash under thousands of requests. What is remembered and told stays within bounds, and a request
-/// that crashes endpoints is still found.
+/// Hundreds of endpoints crash under thousands of requests. Records and updates must stay bounded, and a
+/// request that crashes endpoints must still be detected.
 #[test]
-fn many_crashes_fit_in_memory_and_datagrams() {
-    let now = Instant::now() + MEMORY;
+fn records_and_updates_of_many_crashes_are_bounded() {
+    let now = Instant::now() + CRASH_RETENTION;
     let mut quarantine = Quarantine::default();
     for request in 0..6_000 {
         quarantine.observe_crash(now, crash(Fingerprint(1_000 + request), request as u32 % 300, now));
@@ -170,16 +176,16 @@
     for endpoint in 1_000..1_003 {
         quarantine.observe_crash(now, crash(BAD, endpoint, now));
     }
-    assert!(is_in(&quarantine, now, BAD));
+    assert!(is_quarantined(&quarantine, now, BAD));
     let news = quarantine.update(now, true);
     assert!(news.crashes.len() <= 64 && news.served.len() <= 64);
 }
 
 quickcheck! {
-    /// Whatever happens in whatever order: a request that was present at fewer than three crashes is sent on, and so is one
-    /// that was answered last.
-    fn nobody_is_accused_without_three_crashes(steps: Vec<(u8, u8, bool)>) -> bool {
-        let now = Instant::now() + MEMORY;
+    /// For any events in any order: a request that was present at fewer than three crashes is not in
+    /// quarantine, and neither is one whose last event was a completion.
+    fn no_request_is_quarantined_without_three_crashes(steps: Vec<(u8, u8, bool)>) -> bool {
+        let now = Instant::now() + CRASH_RETENTION;
         let mut quarantine = Quarantine::default();
         let mut present = [0_u32; 4];
         for (step, (request, endpoint, answered)) in steps.into_iter().enumerate() {
@@ -193,8 +199,8 @@
                 quarantine.observe_crash(at, crash(fingerprint, u32::from(endpoint % 16), at));
                 present[index] += 1;
             }
-            let accused = |i: usize| is_in(&quarantine, at, Fingerprint(i as u64));
-            if (0..4).any(|i| accused(i) && present[i] < 3) {
+            let quarantined = |i: usize| is_quarantined(&quarantine, at, Fingerprint(i as u64));
+            if (0..4).any(|i| quarantined(i) && present[i] < 3) {
                 return false;
             }
         }
@@ -203,7 +209,7 @@
 }
 
 #[test]
-fn a_fingerprint_tells_requests_apart() {
+fn a_fingerprint_distinguishes_requests() {
     let one = Fingerprint::of("a team", "POST", "a.example", "/x/1", b"body");
     assert_eq!(one, Fingerprint::of("a team", "POST", "a.example", "/x/1", b"body"));
     for other in [
--- a/crates/core/tests/all/support.rs
+++ b/crates/core/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! An instance alone with an example configuration.
+//! A single instance with an example configuration.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,25 +14,25 @@
 /// Start of the instance in milliseconds since the Unix epoch.
 const INCARNATION: u64 = 1;
 
-/// One instance, its clock, and what it wanted done since the last look.
-pub(crate) struct Alone {
+/// One instance and its clock.
+pub(crate) struct SingleInstance {
     instance: Instance,
     started: Instant,
     now: Instant,
     pub(crate) configuration: Configuration,
 }
 
-impl Alone {
+impl SingleInstance {
     pub(crate) fn start() -> Self {
         Self::started_with(Vec::new())
     }
 
-    /// An instance that is the only one in the list, and was so before it started.
+    /// An instance that is the only one in the list, also before its start.
     pub(crate) fn only_listed() -> Self {
         Self::started_with(vec![entry("osborne-1", "osborne", 1)])
     }
 
-    /// An instance whose first list has these.
+    /// An instance whose first list contains `instances`.
     fn started_with(instances: Vec<InstanceEntry>) -> Self {
         let now = Instant::now();
         let identity = Identity {
@@ -42,17 +42,18 @@
             address: ([127, 0, 0, 1], 1).into(),
             incarnation: INCARNATION,
         };
-        let configuration = parse_configuration(CONFIGURATION).expect("the example checks");
-        let mut alone = Self { instance: Instance::new(now, identity, 1), started: now, now, configuration };
+        let configuration = parse_configuration(CONFIGURATION).expect("the example is valid");
+        let mut instance =
+            Self { instance: Instance::new(now, identity, 1), started: now, now, configuration };
         let list = InstanceList { revision: 1, instances };
-        alone.step(Event::ListRead { list, source: Source::Platform, read_started: now });
-        alone.offer();
-        for endpoint in alone.configuration.endpoints.clone() {
+        instance.step(Event::ListRead { list, source: Source::Platform, read_started: now });
+        instance.activate_configuration();
+        for endpoint in instance.configuration.endpoints.clone() {
             let event =
                 Event::Reported { endpoint: EndpointId::of(&endpoint.name), report: EngineLoad::default() };
-            alone.step(event);
+            instance.step(event);
         }
-        alone
+        instance
     }
 
     pub(crate) fn step(&mut self, event: Event) -> Vec<Effect> {
@@ -66,7 +67,7 @@
         self.step(Event::Received { from: InstanceId::of(OTHER), message })
     }
 
-    /// A list with the instances of a [`pair`] comes into use.
+    /// A list with the instances of a [`pair`] becomes current.
     pub(crate) fn relist(&mut self, revision: u64) {
         let instances = vec![entry("osborne-1", "osborne", 1), entry(OTHER, "malaga", 2)];
         let list = InstanceList { revision, instances };
@@ -74,7 +75,7 @@
     }
 
     /// Milliseconds since the Unix epoch.
-    pub(crate) fn wall(&self) -> u64 {
+    pub(crate) fn unix_ms(&self) -> u64 {
         INCARNATION + self.now.duration_since(self.started).as_millis() as u64
     }
 
@@ -82,7 +83,7 @@
         self.now += time;
     }
 
-    /// Time passes with ticks, as for a process that runs.
+    /// Time passes with ticks, as in a running process.
     pub(crate) fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -91,25 +92,25 @@
         }
     }
 
-    fn offer(&mut self) -> Vec<Effect> {
+    fn activate_configuration(&mut self) -> Vec<Effect> {
         let configuration = Arc::new(self.configuration.clone());
         let candidate = ConfigurationCandidate::Valid { configuration, text: Arc::from("") };
         self.step(Event::ConfigurationRead { candidate, source: Source::Platform })
     }
 
-    /// Puts a changed configuration in force.
+    /// Activates a changed configuration.
     pub(crate) fn change(&mut self, change: impl FnOnce(&mut Configuration)) {
         change(&mut self.configuration);
         self.configuration.version += 1;
-        self.offer();
+        self.activate_configuration();
     }
 
-    /// A caller asks for an invoice; the try that began.
+    /// A caller requests an invoice. Returns the attempt that starts.
     pub(crate) fn arrive(&mut self, ticket: u64) -> AttemptId {
-        prefill(&self.ask(ticket, Fingerprint(ticket))).expect("there is room")
+        prefill(&self.ask(ticket, Fingerprint(ticket))).expect("a slot is free")
     }
 
-    /// A caller asks for an invoice with this content.
+    /// A caller requests an invoice with this fingerprint.
     pub(crate) fn ask(&mut self, ticket: u64, fingerprint: Fingerprint) -> Vec<Effect> {
         let work = Work::Generate(Generate {
             model: "fee-writer-invoice".to_owned(),
@@ -128,12 +129,12 @@
 /// Name of the instance that [`pair`] adds.
 pub(crate) const OTHER: &str = "malaga-1";
 
-/// An instance that knows and has heard another one.
-pub(crate) fn pair() -> Alone {
-    let mut alone = Alone::start();
-    alone.relist(2);
-    alone.receive(heartbeat());
-    alone
+/// An instance that has received a heartbeat of another one.
+pub(crate) fn pair() -> SingleInstance {
+    let mut instance = SingleInstance::start();
+    instance.relist(2);
+    instance.receive(heartbeat());
+    instance
 }
 
 fn entry(name: &str, domain: &str, port: u16) -> InstanceEntry {
@@ -145,12 +146,12 @@
     }
 }
 
-/// The other instance's, by the list of a [`pair`].
+/// Heartbeat of the other instance at the list of a [`pair`].
 pub(crate) fn heartbeat() -> Message {
     heartbeat_at(2)
 }
 
-/// The other instance's, by a list.
+/// Heartbeat of the other instance at a list revision.
 pub(crate) fn heartbeat_at(revision: u64) -> Message {
     let updates = Vec::new();
     let (stamp, incarnation, epoch) = (0, 1, 0);
