--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -28,7 +28,7 @@
     pub retried: u64,
     /// Streams resumed on a new connection.
     pub resumed: u64,
-    /// Attempts of ended instances that were cancelled at engines.
+    /// Orphaned attempts that were cancelled at engines.
     pub orphans: u64,
     /// Refusals by error code.
     pub refused: BTreeMap<&'static str, u64>,
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -131,10 +131,10 @@
     /// Refusal of a request that is in quarantine.
     pub(crate) fn quarantine_refusal(&self, now: Instant, key: RequestKey) -> Option<Refusal> {
         let request = self.requests.get(key);
-        let left = self.quarantine.until(now, request.fingerprint)?.duration_since(now);
+        let remaining = self.quarantine.until(now, request.fingerprint)?.duration_since(now);
         // A request that may have run must not be refused as "not run".
         let kind = if request.may_have_run() { ErrorKind::EndpointFailed } else { ErrorKind::Quarantined };
-        Some(Refusal::retryable(kind, left))
+        Some(Refusal::retryable(kind, remaining))
     }
 
     /// Sends recent changes to all members, repeatedly for a while.
@@ -177,13 +177,13 @@
             if self.quarantine.merge_crash(now, crash) {
                 self.refuse_quarantined(now, report.request, out);
             }
-            let starts: Vec<_> = self
+            let incarnations: Vec<_> = self
                 .abandoned
                 .iter()
                 .map(|l| (l.endpoint, self.incarnation_at(l.endpoint, crash.at)))
                 .collect();
-            let ended = |endpoint| starts.contains(&(endpoint, crash.endpoint));
-            let present = self.take_abandoned(crash.at, ended);
+            let ended_by_crash = |endpoint| incarnations.contains(&(endpoint, crash.endpoint));
+            let present = self.take_abandoned(crash.at, ended_by_crash);
             self.attribute_crash(now, present, out);
         }
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -462,7 +462,7 @@
         /// The request.
         request: Fingerprint,
     },
-    /// Work of an instance that has ended was cancelled at an engine.
+    /// An orphaned attempt was cancelled at an engine.
     Orphan {
         /// The attempt.
         attempt: AttemptId,
--- a/crates/core/src/failures.rs
+++ b/crates/core/src/failures.rs
@@ -94,12 +94,12 @@
             return;
         }
         self.discard_cache(now, key, out);
-        self.back_to_waiting(key);
+        self.return_to_waiting(key);
         self.requeue_or_refuse(now, key, failure, out);
     }
 
     /// Ends an attempt that may have run.
-    pub(crate) fn back_to_waiting(&mut self, key: RequestKey) {
+    pub(crate) fn return_to_waiting(&mut self, key: RequestKey) {
         let request = self.requests.get_mut(key);
         request.phase = Phase::Waiting;
         request.maybe_reached_endpoint = true;
@@ -158,7 +158,7 @@
         }
         self.count_wasted_prefill(key, Some(decode));
         self.release_decode(now, key, decode, out);
-        self.back_to_waiting(key);
+        self.return_to_waiting(key);
         self.requeue_or_refuse(now, key, failure, out);
     }
 
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -396,7 +396,7 @@
                 self.send_replies(now, replies, out);
             }
             Message::Crashes { crashes, served } => self.merge_crashes(now, crashes, served, out),
-            Message::Reserve(reserve) => self.reservation_requested(now, from, &reserve, out),
+            Message::Reserve(request) => self.reservation_requested(now, from, &request, out),
             Message::Queued { request } => self.reservation_queued(from, request),
             Message::Reserved { pool, request, prefill, decode } => {
                 self.reservation_granted(now, from, (pool, request), (prefill, decode), out);
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -220,12 +220,12 @@
         let target = self.endpoints.get(endpoint).target();
         let request = self.begin_attempt(key, Phase::Calling { endpoint });
         request.slot_taken = now;
-        let left = request.deadline.saturating_duration_since(now);
+        let remaining = request.deadline.saturating_duration_since(now);
         let effect = Effect::Call {
             ticket: request.ticket,
             attempt: request.attempt(),
             target,
-            timeout: timeout.min(left),
+            timeout: timeout.min(remaining),
         };
         out.push(effect);
         self.watch_deadline(key);
@@ -303,7 +303,7 @@
         self.release_decode(now, key, decode, out);
         let Some(other) = self.choose_endpoint(now, key, Role::Decode) else {
             self.discard_cache(now, key, out);
-            self.back_to_waiting(key);
+            self.return_to_waiting(key);
             return self.requeue_or_refuse(now, key, StepFailure::Leaving, out);
         };
         self.endpoints.take_slot(other);
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -198,8 +198,8 @@
             members.insert(id, member);
         }
         self.was_unlisted |= members.len() == list.instances.len();
-        let gone = std::mem::replace(&mut self.others, members);
-        let removed = gone
+        let unlisted = std::mem::replace(&mut self.others, members);
+        let removed = unlisted
             .into_iter()
             .map(|(id, m)| (id, RemovedMember { last_seen: now, incarnation: m.incarnation }));
         self.removed.extend(removed);
@@ -312,8 +312,8 @@
     /// Owner of a pool's slots: chosen among the members that are not suspected and not leaving, as observed
     /// here.
     pub(crate) fn owner(&self, pool: PoolId) -> InstanceId {
-        let stays = |m: &Member| !m.leaving && matches!(m.health, Health::Alive | Health::Unknown);
-        let others = self.others.iter().filter(|(_, m)| stays(m)).map(|(&id, _)| id);
+        let is_candidate = |m: &Member| !m.leaving && matches!(m.health, Health::Alive | Health::Unknown);
+        let others = self.others.iter().filter(|(_, m)| is_candidate(m)).map(|(&id, _)| id);
         let candidates = others.chain((!self.stopping).then_some(self.me));
         let highest = candidates.max_by_key(|i| (xxh3_64_with_seed(&pool.0.to_le_bytes(), i.0), *i));
         highest.unwrap_or(self.me)
@@ -409,7 +409,7 @@
 
     /// State of this instance, with the pending updates that have been sent least often.
     pub(crate) fn heartbeat(&mut self, now: Instant, version: u64) -> Heartbeat {
-        let limit = 3 * (self.others.len() + 2).ilog2();
+        let max_sends = 3 * (self.others.len() + 2).ilog2();
         let mut least_sent: Vec<InstanceId> = self.updates.keys().copied().collect();
         least_sent.sort_by_key(|id| self.updates[id].1);
         least_sent.truncate(UPDATES_PER_HEARTBEAT);
@@ -420,7 +420,7 @@
             };
             updates.push(*update);
             *sent_count += 1;
-            if *sent_count > limit {
+            if *sent_count > max_sends {
                 self.updates.remove(&id);
             }
         }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -118,8 +118,8 @@
 
     /// End of the quarantine of the request.
     fn until(&self, now: Instant) -> Option<Instant> {
-        let decisive = self.crashes.len().checked_sub(CRASH_LIMIT)?;
-        Some(self.crashes[decisive].at + CRASH_RETENTION).filter(|&until| until > now)
+        let deciding = self.crashes.len().checked_sub(CRASH_LIMIT)?;
+        Some(self.crashes[deciding].at + CRASH_RETENTION).filter(|&until| until > now)
     }
 }
 
@@ -215,9 +215,9 @@
 
     /// Removes the crashes of a request that is now in quarantine from all requests that are not.
     fn clear_others(&mut self, now: Instant, request: Fingerprint) {
-        let explained: Vec<_> = self.records[&request].crashes.iter().map(|crash| crash.endpoint).collect();
+        let endpoints: Vec<_> = self.records[&request].crashes.iter().map(|crash| crash.endpoint).collect();
         for record in self.records.values_mut().filter(|record| record.until(now).is_none()) {
-            record.crashes.retain(|crash| !explained.contains(&crash.endpoint));
+            record.crashes.retain(|crash| !endpoints.contains(&crash.endpoint));
         }
     }
 
@@ -245,10 +245,10 @@
     /// crash again before it refuses these requests.
     pub fn update(&self, now: Instant, newcomers: bool) -> CrashUpdate {
         let recent = |at: Instant| now.duration_since(at) < UPDATE_PERIOD;
-        let told =
+        let to_send =
             |r: &&CrashRecord| r.last_observed.is_some_and(recent) || (newcomers && r.until(now).is_some());
         let mut crashes: Vec<_> =
-            self.records.values().filter(told).flat_map(|r| r.crashes.iter().copied()).collect();
+            self.records.values().filter(to_send).flat_map(|r| r.crashes.iter().copied()).collect();
         crashes.sort_by_key(|crash| std::cmp::Reverse(crash.at));
         crashes.truncate(UPDATE_ENTRIES_MAX);
         let cleared = self.cleared.iter().rev().filter(|(at, _)| recent(*at));
--- a/crates/core/src/reservations.rs
+++ b/crates/core/src/reservations.rs
@@ -53,20 +53,21 @@
             (request.arrived + first_token_target).checked_sub(lead).unwrap_or(request.arrived)
         };
         let waited = now.duration_since(request.arrived).min(request.wait);
-        let left = request.wait.saturating_sub(waited).min(request.deadline.saturating_duration_since(now));
-        let reserve = ReservationRequest {
+        let remaining =
+            request.wait.saturating_sub(waited).min(request.deadline.saturating_duration_since(now));
+        let reservation_request = ReservationRequest {
             pool,
             request: request.id,
             priority: request.priority,
             team: request.team.clone(),
             prompt: prompt_tokens,
             first_ms: start_by.saturating_duration_since(now).as_millis() as u32,
-            wait_ms: left.as_millis() as u32,
+            wait_ms: remaining.as_millis() as u32,
             tried: request.tried.iter().filter_map(|&k| self.endpoints.id_of(k)).collect(),
         };
         self.requests.get_mut(key).reservation =
             Some(PendingReservation { owner, requested: now, acknowledged: false });
-        self.deliver(now, owner, Message::Reserve(reserve), out);
+        self.deliver(now, owner, Message::Reserve(reservation_request), out);
     }
 
     /// Estimated time from a slot pair to the first token, with a margin. Under overload, every request that
@@ -254,10 +255,10 @@
         &mut self,
         now: Instant,
         from: InstanceId,
-        reserve: &ReservationRequest,
+        reservation_request: &ReservationRequest,
         out: &mut Vec<Effect>,
     ) {
-        let (pool, request) = (reserve.pool, reserve.request);
+        let (pool, request) = (reservation_request.pool, reservation_request.request);
         self.members.observe_incarnation(from, request.incarnation);
         let Some(name) = self.pools.get(&pool).cloned() else {
             return;
@@ -273,12 +274,12 @@
         }
         if !self.slots(pool).knows(request) {
             let capacity = self.endpoints.capacity(now, &name, Role::Decode);
-            let wait = self.slots(pool).expected_wait(reserve.priority, capacity);
-            if wait > Duration::from_millis(u64::from(reserve.wait_ms)) {
+            let wait = self.slots(pool).expected_wait(reservation_request.priority, capacity);
+            if wait > Duration::from_millis(u64::from(reservation_request.wait_ms)) {
                 let wait_ms = wait.as_millis() as u32;
                 return self.deliver(now, from, Message::Declined { request, wait_ms }, out);
             }
-            let slot_request = SlotRequest::new(now, from, reserve, |id| self.endpoints.find(id));
+            let slot_request = SlotRequest::new(now, from, reservation_request, |id| self.endpoints.find(id));
             self.slots(pool).enqueue(slot_request);
         }
         self.deliver(now, from, Message::Queued { request }, out);
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -92,18 +92,18 @@
     pub(crate) fn new(
         now: Instant,
         from: InstanceId,
-        reserve: &ReservationRequest,
+        reservation_request: &ReservationRequest,
         find: impl Fn(EndpointId) -> Option<EndpointKey>,
     ) -> Self {
         Self {
-            request: reserve.request,
+            request: reservation_request.request,
             requester: from,
-            priority: reserve.priority,
-            team: reserve.team.clone(),
-            prompt_tokens: reserve.prompt,
-            start_by: now + Duration::from_millis(u64::from(reserve.first_ms)),
-            gives_up: now + Duration::from_millis(u64::from(reserve.wait_ms)),
-            tried: reserve.tried.iter().filter_map(|&id| find(id)).collect(),
+            priority: reservation_request.priority,
+            team: reservation_request.team.clone(),
+            prompt_tokens: reservation_request.prompt,
+            start_by: now + Duration::from_millis(u64::from(reservation_request.first_ms)),
+            gives_up: now + Duration::from_millis(u64::from(reservation_request.wait_ms)),
+            tried: reservation_request.tried.iter().filter_map(|&id| find(id)).collect(),
             late: false,
         }
     }
