--- a/crates/teams/benches/admit.rs
+++ b/crates/teams/benches/admit.rs
@@ -1,4 +1,5 @@
-//! Cost of the decisions that each request takes: whose key it bears, and whether its team's limit allows it.
+//! Cost of the decisions for each request: which team its key belongs to, and whether the team's limit allows
+//! it.
 
 #![expect(missing_docs, reason = "criterion's macros make undocumented functions")]
 
@@ -12,9 +13,9 @@
     UpdateHeader,
 };
 
-/// Today's teams, and those of the size in two years.
+/// Number of teams today, and at the size expected in two years.
 const TEAMS: [u32; 2] = [16, 790];
-/// Instances of the size in two years.
+/// Number of peers at the size expected in two years.
 const PEERS: u32 = 379;
 
 fn key(number: u32) -> ApiKey {
@@ -40,10 +41,10 @@
     let mut group = c.benchmark_group("find the team of a key");
     for count in TEAMS {
         let teams = directory(count);
-        let shown = key(count / 2);
+        let presented = key(count / 2);
         group.bench_with_input(BenchmarkId::from_parameter(count), &teams, |b, teams| {
             b.iter(|| {
-                let digest: KeyDigest = black_box(&shown).digest();
+                let digest: KeyDigest = black_box(&presented).digest();
                 teams.find(digest).is_some()
             });
         });
@@ -65,8 +66,8 @@
     }
 }
 
-/// Five teams near their limits, told by each of the others.
-fn hear(c: &mut Criterion) {
+/// Updates of each peer with five teams that are near their limits.
+fn receive_update(c: &mut Criterion) {
     let mut quotas = quotas(790);
     let (mut sequence, mut peer) = (0, 0);
     c.bench_function("hear a telling of five teams, 380 instances", |b| {
@@ -74,20 +75,20 @@
             sequence += 1;
             peer = (peer + 1) % PEERS;
             let now = Duration::from_micros(sequence * 100);
-            let hearing =
+            let header =
                 UpdateHeader { incarnation: 1, sequence, domain: 0, draining: false, known_instances: 380 };
-            if quotas.receive_update(now, peer, hearing) {
-                let spent = (0..5).map(|team| TeamSpending {
+            if quotas.receive_update(now, peer, header) {
+                let spending = (0..5).map(|team| TeamSpending {
                     team: TeamTag(team),
                     total: sequence as i64,
                     recent: 10,
                     level: 1000,
                 });
-                quotas.merge_spending(now, peer, spent);
+                quotas.merge_spending(now, peer, spending);
             }
         });
     });
 }
 
-criterion_group!(benches, identify, admit, hear);
+criterion_group!(benches, identify, admit, receive_update);
 criterion_main!(benches);
--- a/crates/teams/src/directory.rs
+++ b/crates/teams/src/directory.rs
@@ -8,7 +8,7 @@
 
 use crate::key::KeyDigest;
 
-/// A team as instances tell one another of it: a part of its name's digest.
+/// Identifies a team in updates between instances: the first bytes of its name's digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TeamTag(pub u32);
 
@@ -20,22 +20,23 @@
     }
 }
 
-/// In what a team's limit is counted.
+/// Unit in which a team's limit is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
-    /// Each request is one.
+    /// Each request counts as one.
     Requests,
-    /// A generation is its prompt tokens and the most tokens that it may make; any other request is `plain` tokens.
+    /// A generation counts its prompt tokens and the largest number of output tokens that it allows; any
+    /// other request counts `plain` tokens.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Tokens of a request that states none.
         plain: u64,
     },
 }
 
-/// How much a team may ask of all instances together.
+/// How much a team may request of all instances together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
     /// Units at once.
     pub burst: f64,
@@ -46,21 +47,22 @@
 pub struct Team {
     /// Its name, as operators and endpoints know it.
     pub name: Arc<str>,
-    /// Rank of its requests, where 0 is first; goes before the route's.
+    /// Priority of its requests, where 0 is the highest; overrides the priority of the route.
     pub priority: Option<u8>,
-    /// In what its limit is counted.
+    /// Unit in which its limit is counted.
     pub unit: Unit,
-    /// Its limit, if it has one.
+    /// Its limit, if any.
     pub limit: Option<Limit>,
 }
 
 impl Team {
-    /// The name's tag.
+    /// Tag of the team's name.
     pub fn tag(&self) -> TeamTag {
         TeamTag::of(&self.name)
     }
 
-    /// What a request counts against the limit. `tokens` are its prompt tokens and most output tokens, if it names them.
+    /// Units that a request counts against the limit. `tokens` is the sum of its prompt tokens and its
+    /// largest number of output tokens, if it states them.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             Unit::Requests => 1,
@@ -69,32 +71,33 @@
     }
 }
 
-/// All teams of a version.
+/// All teams of a configuration version.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Teams {
     all: Vec<Arc<Team>>,
     /// Index into `all`.
     keys: HashMap<KeyDigest, u32>,
-    /// Keys that a second team names as well.
+    /// Number of keys that a second team lists as well.
     shared: usize,
 }
 
 impl Teams {
-    /// Indexes teams with their keys. A key that two teams name belongs to the first of them, on every instance alike.
+    /// Indexes teams by their keys. A key that two teams list belongs to the first of them, on every instance
+    /// alike.
     pub fn new(teams: impl IntoIterator<Item = (Team, Vec<KeyDigest>)>) -> Self {
         let mut found = Self::default();
         for (team, keys) in teams {
             let index = found.all.len() as u32;
             found.all.push(Arc::new(team));
             for key in keys {
-                let holder = *found.keys.entry(key).or_insert(index);
-                found.shared += usize::from(holder != index);
+                let owner = *found.keys.entry(key).or_insert(index);
+                found.shared += usize::from(owner != index);
             }
         }
         found
     }
 
-    /// The team that holds a key.
+    /// The team that owns a key.
     pub fn find(&self, key: KeyDigest) -> Option<&Arc<Team>> {
         self.all.get(*self.keys.get(&key)? as usize)
     }
@@ -104,7 +107,7 @@
         self.all.iter()
     }
 
-    /// Keys that more than one team names.
+    /// Number of keys that more than one team lists.
     pub fn shared_keys(&self) -> usize {
         self.shared
     }
--- a/crates/teams/src/key.rs
+++ b/crates/teams/src/key.rs
@@ -1,7 +1,8 @@
-//! Keys that callers show, and the digests by which they are known.
+//! Keys that callers present, and the digests that identify them.
 //!
-//! The text of a key lives only while a request's head or a configuration is read; everything that is kept, told or
-//! compared is a digest. Neither prints anything, so that no log line, error or panic can show a key.
+//! The text of a key exists only while the head of a request or a configuration is read. Everything that is
+//! stored, sent to peers or compared is a digest. Neither type prints its content, so no log line, error or
+//! panic can reveal a key.
 
 use std::fmt::{self, Write};
 use std::hash::{Hash, Hasher};
@@ -11,16 +12,16 @@
 use subtle::ConstantTimeEq;
 use zeroize::Zeroizing;
 
-/// A caller's key as it was shown; its memory is overwritten when it is dropped.
+/// A caller's key as it was presented; its memory is overwritten when it is dropped.
 pub struct ApiKey(Zeroizing<String>);
 
 impl ApiKey {
-    /// A key with this text.
+    /// Creates a key from its text.
     pub fn new(text: String) -> Self {
         Self(Zeroizing::new(text))
     }
 
-    /// By what the key is known.
+    /// Digest that identifies the key.
     pub fn digest(&self) -> KeyDigest {
         KeyDigest(Sha256::digest(self.0.as_bytes()).into())
     }
@@ -32,12 +33,12 @@
     }
 }
 
-/// SHA-256 of a key. Keys are drawn at random by operators' tools and long, so that a digest without salt tells nothing.
+/// SHA-256 of a key. Operators' tools draw long keys at random, so a digest without salt reveals nothing.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Reads what [`KeyDigest::to_hex`] writes; `None` for anything else.
+    /// Parses the output of [`KeyDigest::to_hex`]; `None` for any other text.
     pub fn from_hex(text: &str) -> Option<Self> {
         let mut bytes = [0; 32];
         if text.len() != 2 * bytes.len() || !text.is_ascii() {
@@ -50,7 +51,7 @@
         Some(Self(bytes))
     }
 
-    /// The digest as hexadecimal digits, for a configuration; it is no secret.
+    /// The digest in hexadecimal digits, for a configuration; it is not secret.
     pub fn to_hex(&self) -> String {
         self.0.iter().fold(String::new(), |mut text, byte| {
             // Writing to a string does not fail.
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -1,7 +1,8 @@
-//! Teams: who a caller is by its key, and how much each team may ask of the whole system.
+//! Teams: which team a caller belongs to by its key, and how much each team may request of the system.
 //!
-//! `key` holds what must not be seen, `directory` finds a key's team, `quota` limits teams over many instances that agree
-//! on nothing. No input or output, and the clock is passed in, so that both interfaces of the product use it.
+//! `key` holds what must not be printed, `directory` finds the team of a key, and `quota` limits teams across
+//! many instances that do not coordinate. The crate does no input or output, and the clock is passed in, so
+//! both interfaces of the product use it.
 
 mod directory;
 mod key;
--- a/crates/teams/src/quota.rs
+++ b/crates/teams/src/quota.rs
@@ -1,30 +1,35 @@
-//! Limits of teams over many instances that agree on nothing.
+//! Limits of teams across many instances that do not coordinate.
 //!
-//! Each instance keeps an account for each team that has a limit: a level that refills with the limit's rate up to its
-//! burst, and from which admitted requests are taken. What the instances' accounts have to do with one another is the
-//! [`QuotaMode`]:
+//! Each instance keeps an account for each team that has a limit. An account is a token bucket: its level
+//! refills at the limit's rate up to the limit's burst, and the units of admitted requests are taken from it.
+//! The [`QuotaMode`] determines how the accounts of different instances relate to each other:
 //!
-//! - [`QuotaMode::Parts`]: nothing. Each instance admits its part of the limit. Never over it, but callers are spread unevenly, so
-//!   that instances refuse callers of teams that are below their limit, and a small team's part may be less than one request.
-//! - [`QuotaMode::Shared`]: each instance tells the others what it has admitted, and takes what others tell from its own level.
-//!   What others admit is known one telling late, so that a team that floods goes over its limit by what it asks in that
-//!   time, once; the level falls below zero by as much and makes up for it.
+//! - [`QuotaMode::Parts`]: they are independent. Each instance admits its share of the limit. The limit is
+//!   never exceeded, but callers are spread unevenly. Instances therefore refuse requests of teams that are
+//!   below their limit, and a small team's share may be less than one request.
+//! - [`QuotaMode::Shared`]: each instance reports to the others what it has admitted, and subtracts what the
+//!   others report from its own level. An instance learns of admissions elsewhere one update late. A team
+//!   that floods therefore exceeds its limit once, by what it requests in that time; the level falls below
+//!   zero by as much, and the refill makes up for it.
 //!
-//! What must hold is that a team never gets more than its limit and a tolerance in any window, whoever can hear whom.
-//! Three things stand in the way of a shared account:
+//! Invariant: in any window a team gets no more than its limit and a tolerance, whichever instances can reach
+//! each other. Three cases endanger this invariant where accounts are shared:
 //!
-//! - An instance that falls silent may be dead, or cut off and admit as before. Both sides of a cut must add up to one
-//!   limit: what a silent peer may admit, an equal part of the rate, is set aside for as long as it is remembered, and the
-//!   burst shrinks to the part of those that are heard. When it is heard again only what it has admitted beyond that is taken
-//!   from the level. Equal parts, because the two sides must come to the same division without a word.
-//! - An instance that starts knows nothing of what was admitted before. If all start at once, nobody does: the level then
-//!   begins with a part of the burst. An instance that has heard no other failure domain since its start may have
-//!   started inside a cut, and takes them to be as large as its own.
-//! - Tellings are lost, doubled and overtake one another. Totals are told and not differences, with the start of the sender
-//!   that they count from.
+//! - A peer from which no update arrives may have failed, or it may be behind a network partition and admit
+//!   requests as before. Both sides of a partition must add up to one limit. An instance reserves what an
+//!   unresponsive peer may admit, an equal share of the rate, for as long as it remembers the peer, and the
+//!   burst shrinks to the share of the reachable instances. Once the peer is reachable again, only what it
+//!   has admitted beyond the reserve is taken from the level. The shares are equal because both sides must
+//!   arrive at the same division without communicating.
+//! - An instance that starts does not know what was admitted before. If all instances start at once, none of
+//!   them knows. The level therefore begins at a fraction of the burst. An instance that has received nothing
+//!   from any other failure domain since its start may have started during a partition, and assumes that the
+//!   other domains are as large as its own.
+//! - Updates are lost, duplicated and reordered. They therefore carry totals instead of differences, and the
+//!   sender's incarnation, from whose start the totals count.
 //!
-//! Few teams are near their limits. Of the others nothing is told, which keeps tellings small however many teams there are;
-//! `QUIET` says how much that hides.
+//! Few teams are near their limits. Instances report nothing about other teams, which keeps updates small
+//! however many teams there are. `UNREPORTED_FRACTION` bounds how much that hides.
 
 mod account;
 
@@ -32,375 +37,389 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-use account::{Account, Silence};
+use account::{Account, UnresponsivePeer};
 pub use account::{LimitExceeded, TeamSpending};
 
 use crate::directory::{Limit, TeamTag};
 
-/// Silence after which a peer counts as cut off: over the longest pause between two tellings. One whose telling was lost is
-/// taken for cut off for a moment, which costs its part of the rate for as long; a late notice of a cut costs a rate.
-const SILENT: Duration = Duration::from_millis(700);
-/// How long a silent peer is remembered while others of its failure domain are heard: it was removed or replaced without a
-/// word. Where its whole domain is silent it is remembered until the domain is heard again, since a cut may last for hours
-/// and the other side admits its part all the while.
-const MEMORY: Duration = Duration::from_mins(10);
-/// Time after the start for which failure domains that were not heard yet count as being as large as the own one.
-const ASSUMED: Duration = Duration::from_mins(10);
-/// Time after the start in which what peers admitted earlier is not taken from a level that began without it.
-const NEWCOMER: Duration = Duration::from_secs(5);
-/// Most teams that are told of at a time.
-const TELLING_MAX: usize = 64;
-/// Time without a look at the accounts after which an instance stood still. What others admitted meanwhile comes at once
-/// then, and without what the accounts would have lost by being full it would be a debt of seconds.
-const STALL: Duration = Duration::from_secs(1);
+/// A peer that was not observed for this time is unresponsive. It is longer than the longest gossip interval.
+/// A peer whose update was lost counts as unresponsive for a moment, which costs its share of the rate for as
+/// long. A network partition that is noticed late costs a full rate for as long.
+const FAILURE_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long an unresponsive peer is remembered while others of its failure domain are reachable: it was
+/// removed or replaced without notice. A peer whose entire domain is unresponsive is remembered until the
+/// domain is reachable again, since a network partition may last for hours, in which the other side admits
+/// its share.
+const MISSED_PEER_RETENTION: Duration = Duration::from_mins(10);
+/// Time after the start in which failure domains from which nothing was received yet are assumed to be as
+/// large as the own domain.
+const UNSEEN_DOMAIN_TIMEOUT: Duration = Duration::from_mins(10);
+/// Time after a start or a reset in which what peers admitted earlier is not taken from a level that began
+/// without knowledge of it.
+const WARM_UP: Duration = Duration::from_secs(5);
+/// Largest number of teams in one update.
+const MAX_REPORTED_TEAMS: usize = 64;
+/// An instance that did not check its accounts for this long was frozen. Everything that others admitted
+/// meanwhile arrives at once after that, while the refill of the same time is lost beyond the burst. Charged
+/// in full, those admissions would leave a debt of seconds.
+const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// How the accounts of different instances hang together; the module's head weighs them.
+/// How the accounts of different instances relate to each other; the module documentation compares the modes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaMode {
-    /// Each instance has an equal part of each limit.
+    /// Each instance has an equal share of each limit.
     Parts,
-    /// Instances tell one another what they admit.
+    /// Instances report to each other what they admit.
     Shared,
 }
 
-/// What a starting instance may assume of the time before.
+/// What a starting instance may assume about earlier admissions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartKind {
-    /// The whole system starts for the first time: nothing was admitted.
+    /// The system starts for the first time: nothing was admitted.
     First,
-    /// Others may have admitted anything.
+    /// Other instances may have admitted any amount.
     Subsequent,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Peer {
-    /// Drawn at random at each of its starts.
-    life: u64,
-    /// The life before, whose last tellings may come late.
-    former: Option<u64>,
-    /// Number of its last telling.
+    /// Number of the current incarnation, drawn at random at each start.
+    incarnation: u64,
+    /// The incarnation before the current one, whose last updates may arrive late.
+    previous_incarnation: Option<u64>,
+    /// Number of the last update.
     sequence: u64,
-    /// When it was last heard.
-    at: Duration,
-    /// Tag of its failure domain.
+    /// When the peer was last observed.
+    observed_at: Duration,
+    /// Tag of the peer's failure domain.
     domain: u32,
-    /// It has said that it ends; nothing is set aside for it.
-    leaving: bool,
-    /// Instances that it remembers itself, with itself.
-    instances: u32,
-    /// Until when reserves for it are accounted for; `None` while it is heard.
-    reserved: Option<Duration>,
-    /// Time for which it has been missed: silent while others of its failure domain are heard.
-    missed: Duration,
+    /// Whether the peer has announced its shutdown; nothing is reserved for it.
+    draining: bool,
+    /// Number of instances that the peer remembers, itself included.
+    known_instances: u32,
+    /// Time up to which the reserve covers the peer; `None` while it is reachable.
+    reserved_until: Option<Duration>,
+    /// Time for which the peer was unresponsive while others of its failure domain were reachable.
+    missed_for: Duration,
 }
 
 impl Peer {
-    fn is_silent(&self, now: Duration) -> bool {
-        now.saturating_sub(self.at) > SILENT
+    fn is_unresponsive(&self, now: Duration) -> bool {
+        now.saturating_sub(self.observed_at) > FAILURE_TIMEOUT
     }
 }
 
-/// Accounts of all teams that have a limit, as one instance keeps them. `P` tells peers apart. Times are those since the
-/// machine started, suspended time included: limits go on refilling while an instance stands still.
+/// Accounts of all teams that have a limit, as one instance keeps them. `P` identifies a peer. Times are
+/// measured from the start of the machine and include suspended time: limits go on refilling while an
+/// instance is frozen.
 #[derive(Debug)]
 pub struct Quotas<P> {
-    way: QuotaMode,
-    start: StartKind,
-    /// When this process began.
-    begun: Duration,
-    /// Instances that are listed, where a list says so.
-    listed: u32,
-    /// When the accounts began without knowing what others had admitted.
-    started: Duration,
-    /// When they were last looked at.
-    looked: Duration,
-    /// When silent peers were last looked for.
-    reviewed: Duration,
+    mode: QuotaMode,
+    start_kind: StartKind,
+    /// When this process started.
+    process_started: Duration,
+    /// Number of instances in the list of instances, where there is a list.
+    listed_instances: u32,
+    /// When the accounts last started without knowledge of what others had admitted.
+    accounts_reset: Duration,
+    /// When the accounts were last checked, to detect a freeze.
+    accounts_checked: Duration,
+    /// When peers were last checked for unresponsive ones.
+    peers_checked: Duration,
     /// Tag of this instance's failure domain.
     domain: u32,
-    /// Failure domains of the deployment; 0 where that is not known.
-    domains: u32,
+    /// Number of failure domains of the deployment; 0 where it is unknown.
+    domain_count: u32,
     peers: HashMap<P, Peer>,
     accounts: HashMap<TeamTag, Account<P>>,
-    /// Part of each limit that this side of a cut has.
-    part: f64,
-    /// Instances among which limits are divided.
+    /// Share of each limit that the reachable instances have together; with [`QuotaMode::Parts`], the share
+    /// of this instance.
+    reachable_share: f64,
+    /// Number of instances among which limits are divided.
     instances: u32,
 }
 
 impl<P: Copy + Eq + Hash> Quotas<P> {
-    /// No accounts yet. `domain` is the tag of this instance's failure domain, `domains` how many the deployment has, 0 where
-    /// that is not known.
-    pub fn new(now: Duration, way: QuotaMode, start: StartKind, (domain, domains): (u32, u32)) -> Self {
+    /// Creates quotas without any account. `domain` is the tag of this instance's failure domain,
+    /// `domain_count` the number of domains of the deployment, 0 where it is unknown.
+    pub fn new(
+        now: Duration,
+        mode: QuotaMode,
+        start_kind: StartKind,
+        (domain, domain_count): (u32, u32),
+    ) -> Self {
         let (peers, accounts) = (HashMap::new(), HashMap::new());
         Self {
-            way,
-            start,
-            begun: now,
-            listed: 1,
-            started: now,
-            looked: now,
-            reviewed: now,
+            mode,
+            start_kind,
+            process_started: now,
+            listed_instances: 1,
+            accounts_reset: now,
+            accounts_checked: now,
+            peers_checked: now,
             domain,
-            domains,
+            domain_count,
             peers,
             accounts,
-            part: 1.0,
+            reachable_share: 1.0,
             instances: 1,
         }
     }
 
-    /// These limits are in force from now on. A raised burst can be used at once.
+    /// Applies these limits from now on. A raised burst can be used at once.
     pub fn set_limits(&mut self, now: Duration, limits: impl IntoIterator<Item = (TeamTag, Limit)>) {
         let mut before = std::mem::take(&mut self.accounts);
         let first = before.is_empty();
         for (team, limit) in limits {
             let account = match before.remove(&team) {
                 Some(mut account) => {
-                    account.refill(now, self.part);
+                    account.refill(now, self.reachable_share);
                     account.change_limit(limit);
                     account
                 }
-                None => self.open(now, limit, first),
+                None => self.open_account(now, limit, first),
             };
             self.accounts.insert(team, account);
         }
     }
 
-    fn open(&self, now: Duration, limit: Limit, first: bool) -> Account<P> {
-        let knows = match self.start {
+    fn open_account(&self, now: Duration, limit: Limit, first: bool) -> Account<P> {
+        let knows_spending = match self.start_kind {
             StartKind::First => true,
-            StartKind::Subsequent => !first || now.saturating_sub(self.begun) >= NEWCOMER,
+            StartKind::Subsequent => !first || now.saturating_sub(self.process_started) >= WARM_UP,
         };
         let mut account = Account::new(now, limit);
-        if !knows {
-            account.begin_anew();
+        if !knows_spending {
+            account.reset();
         }
         account
     }
 
-    /// Admits a request that costs so many units, if the team's limit allows it. Teams without a limit always do.
+    /// Admits a request of `cost` units if the team's limit allows it. Requests of teams without a limit are
+    /// always admitted.
     ///
     /// # Errors
     /// The team is at its limit.
     pub fn admit(&mut self, now: Duration, team: TeamTag, cost: u64) -> Result<(), LimitExceeded> {
         let Some(account) = self.accounts.get_mut(&team) else { return Ok(()) };
-        let heard = f64::from(self.instances) * self.part;
-        account.refill(now, self.part);
-        account.admit(now, cost as f64, self.part, heard)
+        let reachable = f64::from(self.instances) * self.reachable_share;
+        account.refill(now, self.reachable_share);
+        account.admit(now, cost as f64, self.reachable_share, reachable)
     }
 
-    /// Gives back what a request was admitted with that surely has not run.
+    /// Refunds the cost of an admitted request that certainly has not run.
     pub fn refund(&mut self, now: Duration, team: TeamTag, cost: u64) {
         let Some(account) = self.accounts.get_mut(&team) else { return };
-        account.refill(now, self.part);
-        account.give_back(now, cost as f64);
+        account.refill(now, self.reachable_share);
+        account.refund(now, cost as f64);
     }
 
-    /// Begins anew, as after a start, if this instance stood still.
-    fn look(&mut self, now: Duration) {
-        let stalled = now.saturating_sub(std::mem::replace(&mut self.looked, now)) > STALL;
-        if !stalled {
+    /// Resets the accounts, as after a start, if this instance was frozen.
+    fn reset_after_freeze(&mut self, now: Duration) {
+        let frozen =
+            now.saturating_sub(std::mem::replace(&mut self.accounts_checked, now)) > FREEZE_THRESHOLD;
+        if !frozen {
             return;
         }
-        self.started = now;
+        self.accounts_reset = now;
         for account in self.accounts.values_mut() {
-            account.refill(now, self.part);
-            account.begin_anew();
+            account.refill(now, self.reachable_share);
+            account.reset();
         }
     }
 
-    /// Looks for peers that have fallen silent. To be called several times a second.
+    /// Checks for unresponsive peers. To be called several times a second.
     pub fn tick(&mut self, now: Duration) {
-        self.look(now);
-        self.forget_missed(now);
-        let (silences, heard) = self.silences(now);
-        self.instances = self.count_instances(now).max(heard);
-        let each = 1.0 / f64::from(self.instances);
-        let part = match self.way {
-            QuotaMode::Parts => each,
-            QuotaMode::Shared => f64::from(heard) * each,
+        self.reset_after_freeze(now);
+        self.forget_missing_peers(now);
+        let (unresponsive_peers, reachable) = self.unresponsive_peers(now);
+        self.instances = self.count_instances(now).max(reachable);
+        let instance_share = 1.0 / f64::from(self.instances);
+        let reachable_share = match self.mode {
+            QuotaMode::Parts => instance_share,
+            QuotaMode::Shared => f64::from(reachable) * instance_share,
         };
         for account in self.accounts.values_mut() {
-            account.refill(now, self.part);
-            if self.way == QuotaMode::Shared {
-                account.set_aside(&silences, each, part);
+            account.refill(now, self.reachable_share);
+            if self.mode == QuotaMode::Shared {
+                account.reserve_for(&unresponsive_peers, instance_share, reachable_share);
             }
-            account.note_level(part);
+            account.record_level(reachable_share);
         }
-        self.part = part;
+        self.reachable_share = reachable_share;
     }
 
-    /// Forgets peers that have left, and those that were missed for long.
-    fn forget_missed(&mut self, now: Duration) {
-        let passed = now.saturating_sub(std::mem::replace(&mut self.reviewed, now));
-        let heard = self.peers.values().filter(|peer| !peer.is_silent(now));
-        let present: HashSet<u32> = heard.map(|peer| peer.domain).collect();
+    /// Forgets unresponsive peers that had announced their shutdown, and those that were missed for long.
+    fn forget_missing_peers(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(std::mem::replace(&mut self.peers_checked, now));
+        let reachable = self.peers.values().filter(|peer| !peer.is_unresponsive(now));
+        let present: HashSet<u32> = reachable.map(|peer| peer.domain).collect();
         self.peers.retain(|_, peer| {
-            if !peer.is_silent(now) {
+            if !peer.is_unresponsive(now) {
                 return true;
             }
             if present.contains(&peer.domain) {
-                peer.missed += passed;
+                peer.missed_for += elapsed;
             }
-            !peer.leaving && peer.missed < MEMORY
+            !peer.draining && peer.missed_for < MISSED_PEER_RETENTION
         });
     }
 
-    /// Peers that are silent, and how many instances are heard, this one included.
-    fn silences(&mut self, now: Duration) -> (Vec<Silence<P>>, u32) {
-        let mut heard = 1;
-        let mut silences = Vec::new();
+    /// Returns the unresponsive peers, and the number of reachable instances, this one included.
+    fn unresponsive_peers(&mut self, now: Duration) -> (Vec<UnresponsivePeer<P>>, u32) {
+        let mut reachable = 1;
+        let mut unresponsive_peers = Vec::new();
         for (&id, peer) in &mut self.peers {
-            if !peer.is_silent(now) {
-                heard += 1;
+            if !peer.is_unresponsive(now) {
+                reachable += 1;
                 continue;
             }
-            let from = peer.reserved.replace(now);
-            let time = now.saturating_sub(from.unwrap_or(peer.at));
-            silences.push(Silence { peer: id, time, new: from.is_none() });
+            let from = peer.reserved_until.replace(now);
+            let elapsed = now.saturating_sub(from.unwrap_or(peer.observed_at));
+            unresponsive_peers.push(UnresponsivePeer { id, elapsed, newly_unresponsive: from.is_none() });
         }
-        (silences, heard)
+        (unresponsive_peers, reachable)
     }
 
-    /// Instances among which limits are divided: all that are remembered here, or by a peer that is heard; and for each
-    /// failure domain of which nothing was heard since the start as many as the others have.
+    /// Counts the instances among which limits are divided: all that are remembered here or by a reachable
+    /// peer, or that are listed. For each failure domain from which nothing was received since the start, as
+    /// many are added as the other domains have on average.
     fn count_instances(&self, now: Duration) -> u32 {
-        let heard = self.peers.values().filter(|peer| !peer.is_silent(now));
-        let told = heard.map(|peer| peer.instances).max().unwrap_or(0);
-        let known = self.known_instances().max(told).max(self.listed);
-        if self.start == StartKind::First || now.saturating_sub(self.begun) > ASSUMED {
+        let reachable = self.peers.values().filter(|peer| !peer.is_unresponsive(now));
+        let reported = reachable.map(|peer| peer.known_instances).max().unwrap_or(0);
+        let known = self.known_instances().max(reported).max(self.listed_instances);
+        if self.start_kind == StartKind::First
+            || now.saturating_sub(self.process_started) > UNSEEN_DOMAIN_TIMEOUT
+        {
             return known;
         }
         let domains: HashSet<u32> =
             self.peers.values().map(|peer| peer.domain).chain([self.domain]).collect();
-        known.max(self.known_instances() * self.domains / domains.len() as u32)
+        known.max(self.known_instances() * self.domain_count / domains.len() as u32)
     }
 
-    /// Instances that are remembered here, with this one.
+    /// Number of instances that are remembered here, this one included.
     pub fn known_instances(&self) -> u32 {
-        self.peers.values().filter(|peer| !peer.leaving).count() as u32 + 1
+        self.peers.values().filter(|peer| !peer.draining).count() as u32 + 1
     }
 
-    /// So many instances there are at least, this one included, heard or not.
+    /// Sets the least number of instances, this one included, whether reachable or not.
     pub fn set_listed_instances(&mut self, instances: u32) {
-        self.listed = instances;
+        self.listed_instances = instances;
     }
 
-    /// A peer is alive in this life, as others say or as it shows by other means than a telling: most have nothing to tell.
-    pub fn observe_alive(&mut self, now: Duration, peer: P, life: u64) {
+    /// Records that a peer is alive in this incarnation, by the report of other instances or by other means
+    /// than an update: most peers have nothing to report.
+    pub fn observe_alive(&mut self, now: Duration, peer: P, incarnation: u64) {
         let known = self.peers.entry(peer).or_insert(Peer {
-            life,
-            former: None,
+            incarnation,
+            previous_incarnation: None,
             sequence: 0,
-            at: now,
+            observed_at: now,
             domain: self.domain,
-            leaving: false,
-            instances: 1,
-            reserved: None,
-            missed: Duration::ZERO,
+            draining: false,
+            known_instances: 1,
+            reserved_until: None,
+            missed_for: Duration::ZERO,
         });
-        known.at = now;
-        known.reserved = None;
-        known.missed = Duration::ZERO;
+        known.observed_at = now;
+        known.reserved_until = None;
+        known.missed_for = Duration::ZERO;
     }
 
-    /// A peer was heard. Says whether its telling is new, so that its spending may be taken over.
-    pub fn receive_update(&mut self, now: Duration, peer: P, hearing: UpdateHeader) -> bool {
-        self.look(now);
-        let UpdateHeader {
-            incarnation: life,
-            sequence,
-            domain,
-            draining: leaving,
-            known_instances: instances,
-        } = hearing;
+    /// Records that an update arrived from a peer. Returns whether the update is new, so that its spending
+    /// may be merged.
+    pub fn receive_update(&mut self, now: Duration, peer: P, header: UpdateHeader) -> bool {
+        self.reset_after_freeze(now);
+        let UpdateHeader { incarnation, sequence, domain, draining, known_instances } = header;
         let before = self.peers.get(&peer).copied();
-        let former = match before {
-            Some(known) if known.life == life && known.sequence >= sequence => return false,
-            Some(known) if known.former == Some(life) => return false,
-            Some(known) if known.life != life => {
+        let previous_incarnation = match before {
+            Some(known) if known.incarnation == incarnation && known.sequence >= sequence => return false,
+            Some(known) if known.previous_incarnation == Some(incarnation) => return false,
+            Some(known) if known.incarnation != incarnation => {
                 for account in self.accounts.values_mut() {
-                    account.forget(peer);
+                    account.forget_peer(peer);
                 }
-                Some(known.life)
+                Some(known.incarnation)
             }
-            Some(known) => known.former,
+            Some(known) => known.previous_incarnation,
             None => None,
         };
-        let heard = Peer {
-            life,
-            former,
+        let updated = Peer {
+            incarnation,
+            previous_incarnation,
             sequence,
-            at: now,
+            observed_at: now,
             domain,
-            leaving,
-            instances,
-            reserved: None,
-            missed: Duration::ZERO,
+            draining,
+            known_instances,
+            reserved_until: None,
+            missed_for: Duration::ZERO,
         };
-        self.peers.insert(peer, heard);
+        self.peers.insert(peer, updated);
         true
     }
 
-    /// Merges what a peer says that it has admitted, after its update was [received](Quotas::receive_update).
+    /// Merges what a peer has admitted, by an update that was [received](Quotas::receive_update).
     pub fn merge_spending(&mut self, now: Duration, peer: P, spent: impl IntoIterator<Item = TeamSpending>) {
-        if self.way == QuotaMode::Parts {
+        if self.mode == QuotaMode::Parts {
             return;
         }
-        let newcomer = now.saturating_sub(self.started) < NEWCOMER;
+        let warming_up = now.saturating_sub(self.accounts_reset) < WARM_UP;
         for spending in spent {
             if let Some(account) = self.accounts.get_mut(&spending.team) {
-                account.refill(now, self.part);
-                account.told(peer, spending, newcomer);
+                account.refill(now, self.reachable_share);
+                account.merge(peer, spending, warming_up);
             }
         }
     }
 
-    /// What others are to be told now.
+    /// Returns what to report to the peers now.
     pub fn team_spending(&mut self, now: Duration) -> Vec<TeamSpending> {
-        if self.way == QuotaMode::Parts {
+        if self.mode == QuotaMode::Parts {
             return Vec::new();
         }
-        let (part, everyone) = (self.part, f64::from(self.instances));
-        let news = self.accounts.iter_mut().filter_map(|(&team, account)| {
-            account.refill(now, part);
-            account.news(now, team, part, everyone)
+        let (reachable_share, instances) = (self.reachable_share, f64::from(self.instances));
+        let reports = self.accounts.iter_mut().filter_map(|(&team, account)| {
+            account.refill(now, reachable_share);
+            account.report(now, team, reachable_share, instances)
         });
-        let mut news: Vec<TeamSpending> = news.collect();
-        if news.len() > TELLING_MAX {
-            news.sort_by_key(|spending| std::cmp::Reverse(spending.recent));
-            news.truncate(TELLING_MAX);
+        let mut reports: Vec<TeamSpending> = reports.collect();
+        if reports.len() > MAX_REPORTED_TEAMS {
+            reports.sort_by_key(|spending| std::cmp::Reverse(spending.recent));
+            reports.truncate(MAX_REPORTED_TEAMS);
         }
-        news
+        reports
     }
 
-    /// What was admitted here for a team since the start, in units; `None` where it has no limit.
+    /// Units that this instance admitted for a team since the start; `None` where the team has no limit.
     pub fn admitted(&self, team: TeamTag) -> Option<i64> {
         self.accounts.get(&team).map(Account::total)
     }
 
-    /// Units that may be admitted for a team now; `None` where it has no limit.
+    /// Units that may be admitted for a team now; `None` where the team has no limit.
     pub fn level(&self, team: TeamTag) -> Option<f64> {
         self.accounts.get(&team).map(Account::level)
     }
 
-    /// Part of each limit that is divided among those who are heard; 1 unless some have fallen silent.
+    /// Share of each limit that is divided among the reachable instances; 1 unless some peers are
+    /// unresponsive.
     pub fn reachable_share(&self) -> f64 {
-        self.part
+        self.reachable_share
     }
 }
 
-/// What a telling says of its sender.
+/// What an update says about its sender.
 #[derive(Debug, Clone, Copy)]
 pub struct UpdateHeader {
-    /// Drawn at random at each of its starts.
+    /// Number of the sender's incarnation, drawn at random at each start.
     pub incarnation: u64,
-    /// Grows with each update of that incarnation.
+    /// Number of the update, increasing within an incarnation.
     pub sequence: u64,
-    /// Tag of its failure domain.
+    /// Tag of the sender's failure domain.
     pub domain: u32,
-    /// Whether it is about to end.
+    /// Whether the sender is shutting down.
     pub draining: bool,
     /// [`Quotas::known_instances`] of the sender.
     pub known_instances: u32,
--- a/crates/teams/tests/all/directory.rs
+++ b/crates/teams/tests/all/directory.rs
@@ -12,34 +12,35 @@
     Team { name: Arc::from(name), priority: None, unit, limit: None }
 }
 
-fn teams(of: &[(&str, &[&str])]) -> Teams {
+fn teams(entries: &[(&str, &[&str])]) -> Teams {
     let entry = |(name, keys): &(&str, &[&str])| {
         (team(name, Unit::Requests), keys.iter().map(|key| digest(key)).collect::<Vec<_>>())
     };
-    Teams::new(of.iter().map(entry))
+    Teams::new(entries.iter().map(entry))
 }
 
-fn holder(teams: &Teams, key: &str) -> Option<String> {
+fn owner(teams: &Teams, key: &str) -> Option<String> {
     teams.find(digest(key)).map(|team| team.name.to_string())
 }
 
 #[test]
 fn each_of_a_teams_keys_finds_it_and_no_other_does() {
     let teams = teams(&[("crew", &["a", "b"]), ("office", &["c"]), ("nobody", &[])]);
-    assert_eq!(holder(&teams, "a").as_deref(), Some("crew"));
-    assert_eq!(holder(&teams, "b").as_deref(), Some("crew"));
-    assert_eq!(holder(&teams, "c").as_deref(), Some("office"));
-    assert_eq!(holder(&teams, "d"), None);
-    assert_eq!(holder(&teams, ""), None);
+    assert_eq!(owner(&teams, "a").as_deref(), Some("crew"));
+    assert_eq!(owner(&teams, "b").as_deref(), Some("crew"));
+    assert_eq!(owner(&teams, "c").as_deref(), Some("office"));
+    assert_eq!(owner(&teams, "d"), None);
+    assert_eq!(owner(&teams, ""), None);
     assert_eq!(teams.iter().count(), 3);
 }
 
-/// Two teams name the same key in one version. Its callers are one team's on every instance, whoever asks: the first one's.
+/// Two teams list the same key in one version. Its callers belong to one team on every instance: the first
+/// that lists the key.
 #[test]
-fn a_key_that_two_teams_name_is_the_firsts() {
+fn a_key_that_two_teams_list_belongs_to_the_first() {
     let teams = teams(&[("crew", &["a"]), ("office", &["a", "b"])]);
-    assert_eq!(holder(&teams, "a").as_deref(), Some("crew"));
-    assert_eq!(holder(&teams, "b").as_deref(), Some("office"));
+    assert_eq!(owner(&teams, "a").as_deref(), Some("crew"));
+    assert_eq!(owner(&teams, "b").as_deref(), Some("office"));
     assert_eq!(teams.shared_keys(), 1);
 }
 
@@ -51,7 +52,7 @@
         (team(name, Unit::Requests), keys)
     }));
     for name in &names {
-        assert_eq!(holder(&all, &format!("{name} key 2")).as_ref(), Some(name));
+        assert_eq!(owner(&all, &format!("{name} key 2")).as_ref(), Some(name));
     }
 }
 
--- a/crates/teams/tests/all/keys.rs
+++ b/crates/teams/tests/all/keys.rs
@@ -1,17 +1,17 @@
-//! Keys are seen nowhere.
+//! Keys are never printed.
 
 use teaselshunt_teams::ApiKey;
 
 const TEXT: &str = "k7b2ex5wa5xwyhks8nbk";
 
-/// A key gets into a log line, an error or the output of a crash by being printed with whatever holds it. Neither the key
-/// nor its digest prints anything of itself, in either form.
+/// A key reaches a log line, an error or the output of a crash when it is printed with the value that
+/// contains it. Neither the key nor its digest prints its content, in either debug format.
 #[test]
 fn neither_a_key_nor_its_digest_prints_itself() {
     let key = ApiKey::new(TEXT.to_owned());
     for text in [format!("{key:?}"), format!("{key:#?}"), format!("{:?}", key.digest())] {
         assert!(!text.contains(TEXT), "{text}");
-        assert!(!text.chars().any(|c| c.is_ascii_digit()), "a byte of it is seen: {text}");
+        assert!(!text.chars().any(|c| c.is_ascii_digit()), "a byte of it is printed: {text}");
     }
 }
 
--- a/crates/teams/tests/all/quota.rs
+++ b/crates/teams/tests/all/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of teams over several instances.
+//! Limits of teams across several instances.
 
 use std::time::Duration;
 
@@ -6,36 +6,36 @@
 
 const TEAM: TeamTag = TeamTag(7);
 const LIMIT: Limit = Limit { rate: 1000.0, burst: 1000.0 };
-/// Pause between two tellings.
-const BEAT: Duration = Duration::from_millis(100);
+/// Time between two updates of an instance.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
 const fn seconds(number: u64) -> Duration {
     Duration::from_secs(number)
 }
 
-fn quotas(way: QuotaMode, start: StartKind, domains: (u32, u32)) -> Quotas<usize> {
-    let mut quotas = Quotas::new(seconds(100), way, start, domains);
+fn quotas(mode: QuotaMode, start_kind: StartKind, domains: (u32, u32)) -> Quotas<usize> {
+    let mut quotas = Quotas::new(seconds(100), mode, start_kind, domains);
     quotas.set_limits(seconds(100), [(TEAM, LIMIT)]);
     quotas
 }
 
-fn alone(way: QuotaMode) -> Quotas<usize> {
-    quotas(way, StartKind::First, (0, 1))
+fn single_instance(mode: QuotaMode) -> Quotas<usize> {
+    quotas(mode, StartKind::First, (0, 1))
 }
 
-/// Waits until an instance counts what peers tell of the time before it heard them.
-fn pass_newcomer(quotas: &mut Quotas<usize>) -> Duration {
+/// Ticks until the instance charges what peers report of the time before their first update.
+fn pass_warm_up(quotas: &mut Quotas<usize>) -> Duration {
     let end = seconds(110);
     let mut now = seconds(100);
     while now < end {
-        now += BEAT;
+        now += GOSSIP_INTERVAL;
         quotas.tick(now);
     }
     now
 }
 
-/// Requests of so many units that are admitted one after another at the same moment.
-fn admitted(quotas: &mut Quotas<usize>, now: Duration, cost: u64) -> u64 {
+/// Admits requests of `cost` units at one moment until one is refused. Returns their number.
+fn admit_until_refused(quotas: &mut Quotas<usize>, now: Duration, cost: u64) -> u64 {
     let mut count = 0;
     while quotas.admit(now, TEAM, cost).is_ok() {
         count += 1;
@@ -43,7 +43,7 @@
     count
 }
 
-/// Instances that hear one another unless they are cut off.
+/// Instances that receive each other's updates unless a network partition separates them.
 struct Fleet {
     now: Duration,
     members: Vec<Member>,
@@ -51,34 +51,34 @@
 
 struct Member {
     quotas: Quotas<usize>,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
-    /// Those on different sides do not hear one another.
+    /// Instances on different sides of a partition do not receive each other's updates.
     side: u8,
     domain: u32,
     down: bool,
-    leaving: bool,
+    draining: bool,
 }
 
 impl Fleet {
-    fn new(way: QuotaMode, count: usize) -> Self {
+    fn new(mode: QuotaMode, count: usize) -> Self {
         let member = |n: usize| Member {
-            quotas: quotas(way, StartKind::First, (n as u32 % 2, 2)),
-            life: n as u64,
+            quotas: quotas(mode, StartKind::First, (n as u32 % 2, 2)),
+            incarnation: n as u64,
             sequence: 0,
             side: 0,
             domain: n as u32 % 2,
             down: false,
-            leaving: false,
+            draining: false,
         };
         let mut fleet = Self { now: seconds(100), members: (0..count).map(member).collect() };
-        fleet.beat();
+        fleet.exchange_updates();
         fleet
     }
 
-    /// Each instance tells the others once.
-    fn beat(&mut self) {
-        self.now += BEAT;
+    /// Each instance sends one update to each of the others.
+    fn exchange_updates(&mut self) {
+        self.now += GOSSIP_INTERVAL;
         let now = self.now;
         for from in 0..self.members.len() {
             let sender = &mut self.members[from];
@@ -87,35 +87,31 @@
             }
             sender.quotas.tick(now);
             sender.sequence += 1;
-            let (life, sequence, side, domain) = (sender.life, sender.sequence, sender.side, sender.domain);
-            let instances = sender.quotas.known_instances();
-            let (leaving, spent) = (sender.leaving, sender.quotas.team_spending(now));
-            for (to, hearer) in self.members.iter_mut().enumerate() {
-                if to != from && !hearer.down && hearer.side == side {
-                    let hearing = UpdateHeader {
-                        incarnation: life,
-                        sequence,
-                        domain,
-                        draining: leaving,
-                        known_instances: instances,
-                    };
-                    if hearer.quotas.receive_update(now, from, hearing) {
-                        hearer.quotas.merge_spending(now, from, spent.iter().copied());
+            let (incarnation, sequence, side, domain) =
+                (sender.incarnation, sender.sequence, sender.side, sender.domain);
+            let known_instances = sender.quotas.known_instances();
+            let (draining, spending) = (sender.draining, sender.quotas.team_spending(now));
+            for (to, receiver) in self.members.iter_mut().enumerate() {
+                if to != from && !receiver.down && receiver.side == side {
+                    let header = UpdateHeader { incarnation, sequence, domain, draining, known_instances };
+                    if receiver.quotas.receive_update(now, from, header) {
+                        receiver.quotas.merge_spending(now, from, spending.iter().copied());
                     }
                 }
             }
         }
     }
 
-    /// Callers ask for `rate` units a second at each instance of the list, by requests of 20; units that are admitted.
-    fn run(&mut self, time: Duration, asked: &[(usize, f64)]) -> u64 {
+    /// Callers request `rate` units per second at each instance of the list, in requests of 20 units. Returns
+    /// the units that are admitted.
+    fn run(&mut self, time: Duration, demand: &[(usize, f64)]) -> u64 {
         const COST: u64 = 20;
         let mut units = 0;
         let end = self.now + time;
-        let mut due = vec![0.0; asked.len()];
+        let mut due = vec![0.0; demand.len()];
         while self.now < end {
-            for (due, (member, rate)) in due.iter_mut().zip(asked) {
-                *due += rate * BEAT.as_secs_f64();
+            for (due, (member, rate)) in due.iter_mut().zip(demand) {
+                *due += rate * GOSSIP_INTERVAL.as_secs_f64();
                 while *due >= COST as f64 {
                     *due -= COST as f64;
                     let member = &mut self.members[*member];
@@ -124,67 +120,74 @@
                     }
                 }
             }
-            self.beat();
+            self.exchange_updates();
         }
         units
     }
 
-    /// Failure domains do not hear one another from now on.
-    fn cut_by_domain(&mut self) {
+    /// Separates the failure domains by a network partition from now on.
+    fn partition_by_domain(&mut self) {
         for member in &mut self.members {
             member.side = member.domain as u8;
         }
     }
 
     fn restart(&mut self, member: usize) {
-        let life = self.members[member].life + 1000;
+        let incarnation = self.members[member].incarnation + 1000;
         let Member { side, domain, .. } = self.members[member];
-        let mut fresh = Quotas::new(self.now, QuotaMode::Shared, StartKind::Subsequent, (domain, 2));
-        fresh.set_limits(self.now, [(TEAM, LIMIT)]);
-        self.members[member] =
-            Member { quotas: fresh, life, sequence: 0, side, domain, down: false, leaving: false };
+        let mut restarted = Quotas::new(self.now, QuotaMode::Shared, StartKind::Subsequent, (domain, 2));
+        restarted.set_limits(self.now, [(TEAM, LIMIT)]);
+        self.members[member] = Member {
+            quotas: restarted,
+            incarnation,
+            sequence: 0,
+            side,
+            domain,
+            down: false,
+            draining: false,
+        };
     }
 }
 
-/// What the limit allows in so many seconds, beside the burst.
+/// Units that the limit allows in this time, without the burst.
 fn rate_for(time: Duration) -> f64 {
     LIMIT.rate * time.as_secs_f64()
 }
 
 #[test]
 fn a_team_without_a_limit_is_always_admitted() {
-    let mut quotas = alone(QuotaMode::Shared);
+    let mut quotas = single_instance(QuotaMode::Shared);
     assert!((0..100_000).all(|_| quotas.admit(seconds(100), TeamTag(8), 1000).is_ok()));
     assert_eq!(quotas.level(TeamTag(8)), None);
 }
 
 #[test]
 fn a_burst_is_admitted_at_once_and_then_the_rate() {
-    for way in [QuotaMode::Parts, QuotaMode::Shared] {
-        let mut quotas = alone(way);
-        assert_eq!(admitted(&mut quotas, seconds(100), 100), 10);
-        assert_eq!(admitted(&mut quotas, seconds(100) + Duration::from_millis(500), 100), 5);
+    for mode in [QuotaMode::Parts, QuotaMode::Shared] {
+        let mut quotas = single_instance(mode);
+        assert_eq!(admit_until_refused(&mut quotas, seconds(100), 100), 10);
+        assert_eq!(admit_until_refused(&mut quotas, seconds(100) + Duration::from_millis(500), 100), 5);
     }
 }
 
-/// A request that is larger than the burst is admitted when the account is full, and its team waits for as long as it takes
-/// to make up for it; were it refused, it would be for ever.
+/// A request that is larger than the burst is admitted when the account is full, and the team then waits
+/// until the refill has made up for it. If it were refused, it would be refused for ever.
 #[test]
-fn a_request_larger_than_the_burst_is_admitted_in_its_turn() {
-    let mut quotas = alone(QuotaMode::Shared);
+fn a_request_larger_than_the_burst_is_admitted_when_the_level_is_full() {
+    let mut quotas = single_instance(QuotaMode::Shared);
     assert!(quotas.admit(seconds(100), TEAM, 2500).is_ok());
-    let shortage = quotas.admit(seconds(100), TEAM, 100).unwrap_err();
-    assert_eq!(shortage.wait, Duration::from_millis(1600));
+    let exceeded = quotas.admit(seconds(100), TEAM, 100).unwrap_err();
+    assert_eq!(exceeded.wait, Duration::from_millis(1600));
     assert!(quotas.admit(seconds(101), TEAM, 100).is_err());
     assert!(quotas.admit(seconds(102), TEAM, 100).is_ok());
 }
 
-/// A caller is refused at a team's limit. The time that it is told is when the account has room for it; those who were
-/// refused with it share out the time that the rate needs for all of them.
+/// A caller is refused at a team's limit. The delay that it is given ends when the level suffices for the
+/// request. Refused callers spread their retries over the time that the rate needs for all of them.
 #[test]
-fn a_refusal_tells_when_there_is_room() {
-    let mut quotas = alone(QuotaMode::Shared);
-    admitted(&mut quotas, seconds(100), 100);
+fn a_refusal_states_when_the_level_suffices() {
+    let mut quotas = single_instance(QuotaMode::Shared);
+    admit_until_refused(&mut quotas, seconds(100), 100);
     let first = quotas.admit(seconds(100), TEAM, 200).unwrap_err();
     assert_eq!(first.wait, Duration::from_millis(200));
     assert!(quotas.admit(seconds(100) + first.wait, TEAM, 200).is_ok());
@@ -193,26 +196,26 @@
 }
 
 #[test]
-fn what_has_not_run_is_given_back() {
-    let mut quotas = alone(QuotaMode::Shared);
-    admitted(&mut quotas, seconds(100), 100);
+fn a_request_that_has_not_run_is_refunded() {
+    let mut quotas = single_instance(QuotaMode::Shared);
+    admit_until_refused(&mut quotas, seconds(100), 100);
     quotas.refund(seconds(100), TEAM, 300);
-    assert_eq!(admitted(&mut quotas, seconds(100), 100), 3);
+    assert_eq!(admit_until_refused(&mut quotas, seconds(100), 100), 3);
 }
 
 #[test]
 fn a_raised_burst_counts_at_once_and_a_lowered_limit_too() {
-    let mut quotas = alone(QuotaMode::Shared);
-    admitted(&mut quotas, seconds(100), 100);
+    let mut quotas = single_instance(QuotaMode::Shared);
+    admit_until_refused(&mut quotas, seconds(100), 100);
     quotas.set_limits(seconds(100), [(TEAM, Limit { rate: 1000.0, burst: 1500.0 })]);
-    assert_eq!(admitted(&mut quotas, seconds(100), 100), 5);
+    assert_eq!(admit_until_refused(&mut quotas, seconds(100), 100), 5);
     quotas.set_limits(seconds(110), [(TEAM, Limit { rate: 100.0, burst: 200.0 })]);
-    assert_eq!(admitted(&mut quotas, seconds(110), 100), 2);
-    assert_eq!(admitted(&mut quotas, seconds(111), 100), 1);
+    assert_eq!(admit_until_refused(&mut quotas, seconds(110), 100), 2);
+    assert_eq!(admit_until_refused(&mut quotas, seconds(111), 100), 1);
 }
 
-/// A team floods through all instances at once, at nine times its limit. What instances have not told one another yet is
-/// admitted too much, once; then the rate holds.
+/// A team floods all instances at once, at nine times its limit. What instances have not reported to each
+/// other yet is admitted beyond the limit, once; after that the rate holds.
 #[test]
 fn a_flood_through_all_instances_gets_the_rate() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 10);
@@ -225,8 +228,9 @@
     assert!(later <= rate_for(seconds(8)) * 1.1, "{later}");
 }
 
-/// Callers are spread by hash: all of a team's come through one instance of ten. It is below its limit, and is refused
-/// nothing where the account is shared; with an equal part for each instance it would get a tenth.
+/// Callers are spread by hash, and all callers of a team use one instance of ten. The team is below its
+/// limit, and nothing is refused where the account is shared. With an equal share for each instance it would
+/// get a tenth.
 #[test]
 fn a_team_below_its_limit_is_admitted_through_one_instance() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 10);
@@ -237,10 +241,11 @@
     assert!(units < 2000.0, "{units}");
 }
 
-/// Two sides cannot hear one another and a team floods both. Each side divides the limit among all instances that it
-/// remembers, and admits the part of those that it hears: together they admit one limit and not two.
+/// A network partition separates two sides and a team floods both. Each side divides the limit among all
+/// instances that it remembers, and admits the share of those that are reachable. Together the sides admit
+/// one limit and not two.
 #[test]
-fn both_sides_of_a_cut_together_keep_to_the_limit() {
+fn both_sides_of_a_partition_together_keep_to_the_limit() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 8);
     let flood: Vec<_> = (0..8).map(|n| (n, 900.0)).collect();
     fleet.run(seconds(4), &flood);
@@ -252,23 +257,27 @@
         let units = fleet.run(seconds(8), &flood) as f64;
         let limit = rate_for(seconds(8)) + LIMIT.burst;
         assert!(units <= limit * 1.25, "{units} of {limit}");
-        assert!(units >= rate_for(seconds(8)) * 0.85, "a cut starves nobody: {units} of {limit}");
+        assert!(
+            units >= rate_for(seconds(8)) * 0.85,
+            "a partition leaves the team most of its rate: {units} of {limit}"
+        );
     }
     for member in &mut fleet.members {
         member.side = 0;
     }
-    // What the other side admitted meanwhile was set aside for it: nobody pays for it now.
+    // What the other side admitted meanwhile was reserved for it, and is not charged now.
     let units = fleet.run(seconds(2), &flood) as f64;
     assert!(units >= rate_for(seconds(2)) * 0.7, "{units}");
 }
 
-/// An instance starts again inside a cut. It has never heard the other side; were it to divide the limit among those that
-/// it hears only, its side would admit all of it, beside what the other side admits.
+/// An instance restarts during a network partition and has never received an update of the other side. If it
+/// divided the limit among the reachable instances only, its side would admit the full limit in addition to
+/// what the other side admits.
 #[test]
-fn an_instance_that_starts_inside_a_cut_keeps_to_its_sides_part() {
+fn an_instance_that_starts_during_a_partition_keeps_to_its_sides_share() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 8);
     let flood: Vec<_> = (0..8).map(|n| (n, 900.0)).collect();
-    // By failure domains: even numbers are one.
+    // By failure domains: instances with even numbers are in one domain.
     for (n, member) in fleet.members.iter_mut().enumerate() {
         member.side = (n % 2) as u8;
     }
@@ -282,8 +291,9 @@
     assert!(units <= limit * 1.25, "{units} of {limit}");
 }
 
-/// All instances are killed and start at once while a team floods, at five times its limit. Nobody remembers what it was admitted just before: the
-/// accounts begin with a part of the burst, and not with a new one each time.
+/// All instances are killed and start at once while a team floods, at five times its limit. No instance
+/// remembers what the team was admitted just before. The accounts begin with a fraction of the burst, instead
+/// of a new burst at each start.
 #[test]
 fn restarts_of_all_instances_do_not_multiply_the_burst() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 6);
@@ -297,26 +307,26 @@
     assert!(units <= limit * 1.25, "{units} of {limit}");
 }
 
-/// One instance of ten is killed and another restarted. A team below its limit is refused nothing by either the restarted
-/// instance or the others.
+/// One instance of ten is restarted. A team below its limit is refused nothing by the restarted instance or
+/// by the others.
 #[test]
-fn a_restarted_instance_does_not_pay_for_what_it_missed() {
+fn a_restarted_instance_is_not_charged_for_earlier_admissions() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 10);
-    let usual: Vec<_> = (0..10).map(|n| (n, 60.0)).collect();
-    fleet.run(seconds(5), &usual);
+    let demand: Vec<_> = (0..10).map(|n| (n, 60.0)).collect();
+    fleet.run(seconds(5), &demand);
     fleet.restart(4);
-    let units = fleet.run(seconds(5), &usual) as f64;
+    let units = fleet.run(seconds(5), &demand) as f64;
     assert_eq!(units, 600.0 * 5.0);
 }
 
-/// Instances that say that they end are no reason to set anything aside for them.
+/// Nothing is reserved for instances that have announced their shutdown.
 #[test]
-fn nothing_is_set_aside_for_instances_that_have_said_that_they_end() {
+fn nothing_is_reserved_for_instances_that_announced_their_shutdown() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 4);
     for n in [0, 1] {
-        fleet.members[n].leaving = true;
+        fleet.members[n].draining = true;
     }
-    fleet.beat();
+    fleet.exchange_updates();
     for n in [0, 1] {
         fleet.members[n].down = true;
     }
@@ -325,117 +335,118 @@
     assert!(units >= rate_for(seconds(8)), "{units}");
 }
 
-/// Tellings come twice, late and in the wrong order, and late ones of a former life after those of the new one. None is
-/// taken into account a second time.
+/// Updates arrive twice, late and in the wrong order, and late updates of a former incarnation arrive after
+/// those of the new one. None is charged a second time.
 #[test]
-fn doubled_and_late_tellings_change_nothing() {
-    let mut quotas = alone(QuotaMode::Shared);
-    let now = pass_newcomer(&mut quotas);
-    let mut hear = |life, sequence, total, recent| {
-        let hearing =
-            UpdateHeader { incarnation: life, sequence, domain: 0, draining: false, known_instances: 2 };
-        if quotas.receive_update(now, 1, hearing) {
+fn duplicate_and_late_updates_change_nothing() {
+    let mut quotas = single_instance(QuotaMode::Shared);
+    let now = pass_warm_up(&mut quotas);
+    let mut receive = |incarnation, sequence, total, recent| {
+        let header = UpdateHeader { incarnation, sequence, domain: 0, draining: false, known_instances: 2 };
+        if quotas.receive_update(now, 1, header) {
             quotas.merge_spending(now, 1, [TeamSpending { team: TEAM, total, recent, level: 1000 }]);
         }
         quotas.level(TEAM).unwrap()
     };
-    assert_eq!(hear(1, 1, 100, 100), 900.0);
-    assert_eq!(hear(1, 3, 300, 200), 700.0);
-    assert_eq!(hear(1, 2, 200, 200), 700.0, "overtaken");
-    assert_eq!(hear(1, 3, 300, 200), 700.0, "doubled");
-    assert_eq!(hear(2, 1, 50, 50), 650.0, "a new life counts from nothing");
-    assert_eq!(hear(1, 4, 400, 200), 650.0, "of the life before");
-    assert_eq!(hear(2, 2, 80, 80), 620.0);
+    assert_eq!(receive(1, 1, 100, 100), 900.0);
+    assert_eq!(receive(1, 3, 300, 200), 700.0);
+    assert_eq!(receive(1, 2, 200, 200), 700.0, "out of order");
+    assert_eq!(receive(1, 3, 300, 200), 700.0, "duplicate");
+    assert_eq!(receive(2, 1, 50, 50), 650.0, "a new incarnation counts from zero");
+    assert_eq!(receive(1, 4, 400, 200), 650.0, "of the previous incarnation");
+    assert_eq!(receive(2, 2, 80, 80), 620.0);
 }
 
-/// Of a team that is far from its limit nothing is told, and of one that is near, all.
+/// Nothing is reported about a team that is far from its limit, and everything about one that is near.
 #[test]
-fn only_teams_near_their_limits_are_told_of() {
-    let mut quotas = alone(QuotaMode::Shared);
+fn only_teams_near_their_limits_are_reported() {
+    let mut quotas = single_instance(QuotaMode::Shared);
     let now = seconds(110);
     quotas.admit(now, TEAM, 20).unwrap();
     assert!(quotas.team_spending(now).is_empty());
     quotas.admit(now, TEAM, 700).unwrap();
-    let told = quotas.team_spending(now);
-    assert_eq!(told, [TeamSpending { team: TEAM, total: 720, recent: 720, level: 280 }]);
-    assert!(quotas.team_spending(now + seconds(5)).is_empty(), "a change is told for a while only");
+    let reported = quotas.team_spending(now);
+    assert_eq!(reported, [TeamSpending { team: TEAM, total: 720, recent: 720, level: 280 }]);
+    assert!(quotas.team_spending(now + seconds(5)).is_empty(), "a change is reported for a limited time");
 }
 
-/// A machine stands still for seconds and wakes. Limits went on refilling meanwhile and others went on admitting; the two
-/// cancel out, and callers of a team below its limit are not refused.
+/// A machine is frozen for seconds and resumes. Limits went on refilling meanwhile and other instances went
+/// on admitting. The two cancel out, and callers of a team below its limit are not refused.
 #[test]
-fn an_instance_that_wakes_does_not_refuse_for_what_it_slept_through() {
-    let mut quotas = alone(QuotaMode::Shared);
-    let hearing =
+fn an_instance_does_not_refuse_for_what_was_admitted_while_it_was_frozen() {
+    let mut quotas = single_instance(QuotaMode::Shared);
+    let header =
         |sequence| UpdateHeader { incarnation: 1, sequence, domain: 0, draining: false, known_instances: 2 };
     let total = |total| [TeamSpending { team: TEAM, total, recent: 500, level: 1000 }];
-    assert!(quotas.receive_update(seconds(110), 1, hearing(1)));
+    assert!(quotas.receive_update(seconds(110), 1, header(1)));
     quotas.merge_spending(seconds(110), 1, total(1000));
-    assert!(quotas.receive_update(seconds(118), 1, hearing(2)));
+    assert!(quotas.receive_update(seconds(118), 1, header(2)));
     quotas.merge_spending(seconds(118), 1, total(1000 + 8 * 500));
     assert!(quotas.admit(seconds(119), TEAM, 500).is_ok(), "level {:?}", quotas.level(TEAM));
 }
 
-/// All instances of both sides start again inside a cut, so that nobody remembers the other side. Each side takes the failure
-/// domains that it has not heard to be as large as its own: together they must admit one limit and not two.
+/// All instances of both sides restart during a network partition, so none remembers the other side. Each
+/// side assumes that the failure domains it has received nothing from are as large as its own. Together they
+/// must admit one limit and not two.
 #[test]
-fn both_sides_that_start_again_inside_a_cut_keep_to_the_limit() {
+fn both_sides_that_restart_during_a_partition_keep_to_the_limit() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 4);
-    fleet.cut_by_domain();
+    fleet.partition_by_domain();
     for member in 0..4 {
         fleet.restart(member);
     }
     let units = flood_after(&mut fleet, seconds(60));
-    assert!(units <= bound(FLOOD), "{units}");
+    assert!(units <= max_units(FLOOD), "{units}");
 }
 
-/// A cut between failure domains lasts for more than ten minutes, as one between regions does several times a year. Each
-/// side forgot the other one then and admitted the whole limit.
+/// A network partition between failure domains lasts for more than ten minutes, as partitions between regions
+/// do several times a year. Each side used to forget the other after that time and admit the full limit.
 #[test]
-fn a_cut_of_over_ten_minutes_keeps_to_the_limit() {
+fn a_partition_of_over_ten_minutes_keeps_to_the_limit() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 4);
-    fleet.cut_by_domain();
+    fleet.partition_by_domain();
     let units = flood_after(&mut fleet, seconds(11 * 60));
-    assert!(units <= bound(FLOOD), "{units}");
+    assert!(units <= max_units(FLOOD), "{units}");
 }
 
-/// A cut of over ten minutes heals. Those who are heard first must not have the others of their failure domain forgotten.
+/// A network partition of over ten minutes ends. The peers that are reachable first must not cause the others
+/// of their failure domain to be forgotten.
 #[test]
-fn the_end_of_a_long_cut_keeps_to_the_limit() {
+fn the_end_of_a_long_partition_keeps_to_the_limit() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 8);
-    fleet.cut_by_domain();
+    fleet.partition_by_domain();
     fleet.run(seconds(11 * 60), &[]);
     for member in [0, 1] {
         fleet.members[member].side = 2;
     }
     let units = flood_after(&mut fleet, seconds(1));
-    assert!(units <= bound(FLOOD), "{units}");
+    assert!(units <= max_units(FLOOD), "{units}");
 }
 
-/// Instances are replaced without a word, again and again. Shares of those that are gone would add up until nobody is
-/// admitted anything.
+/// Instances are replaced without notice, again and again. If the shares of removed instances were kept, they
+/// would add up until nothing is admitted.
 #[test]
 fn replaced_instances_leave_no_shares_behind() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 8);
-    for gone in [4, 5, 6, 7] {
-        fleet.members[gone].down = true;
+    for removed in [4, 5, 6, 7] {
+        fleet.members[removed].down = true;
     }
     fleet.run(seconds(11 * 60), &[]);
     let units = fleet.run(FLOOD, &[(0, 3000.0), (1, 3000.0)]) as f64;
     assert!(units >= rate_for(FLOOD), "{units}");
 }
 
-/// How long a team floods.
+/// Duration of a flood.
 const FLOOD: Duration = seconds(8);
 
-/// Units that a team gets which floods all instances, at nine times its limit, after a quiet time.
-fn flood_after(fleet: &mut Fleet, quiet: Duration) -> u64 {
-    fleet.run(quiet, &[]);
-    let asked: Vec<_> = (0..fleet.members.len()).map(|member| (member, LIMIT.rate * 9.0 / 4.0)).collect();
-    fleet.run(FLOOD, &asked)
+/// Units that a team is admitted which floods each instance at 9/4 of its limit, after an idle time.
+fn flood_after(fleet: &mut Fleet, idle: Duration) -> u64 {
+    fleet.run(idle, &[]);
+    let demand: Vec<_> = (0..fleet.members.len()).map(|member| (member, LIMIT.rate * 9.0 / 4.0)).collect();
+    fleet.run(FLOOD, &demand)
 }
 
-/// What a team may get at most in so many seconds: its limit and a quarter of it.
-fn bound(time: Duration) -> u64 {
+/// Largest number of units that a team may be admitted in this time: its limit and a quarter of it.
+fn max_units(time: Duration) -> u64 {
     ((rate_for(time) + LIMIT.burst) * 1.25) as u64
 }
