--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Reading a document and naming every mistake in it.
+//! Parsing and validation of documents; every error is reported.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -12,10 +12,10 @@
 /// Hexadecimal digits of a SHA-256 digest.
 const KEY_DIGITS: usize = 64;
 
-/// One mistake in a document.
+/// One error in a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValidationError {
-    /// JSON pointer to the place, empty for the whole document.
+    /// JSON pointer to the value, empty for the document itself.
     pub path: String,
     /// What was found there and what is allowed.
     pub text: String,
@@ -28,129 +28,128 @@
     }
 }
 
-/// All mistakes in a document, in document order.
+/// All errors in a document, in document order.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
-/// Reads a configuration version from JSON text.
+/// Parses a configuration version from JSON text.
 ///
 /// # Errors
-/// Every mistake found; the document is refused whole.
+/// Every error found; a document with any error is refused.
 pub fn parse_configuration(text: &str) -> Result<Configuration, ValidationErrors> {
     let configuration = parse::<Configuration>(text)?;
-    let mistakes = References::new(&configuration).check();
-    if mistakes.is_empty() { Ok(configuration) } else { Err(ValidationErrors(mistakes)) }
+    let errors = ReferenceChecker::new(&configuration).check();
+    if errors.is_empty() { Ok(configuration) } else { Err(ValidationErrors(errors)) }
 }
 
-/// Reads the settings of one instance from JSON text.
+/// Parses the settings of one instance from JSON text.
 ///
 /// # Errors
-/// Every mistake found.
+/// Every error found.
 pub fn parse_settings(text: &str) -> Result<Settings, ValidationErrors> {
     parse(text)
 }
 
 fn parse<T: JsonSchema + DeserializeOwned>(text: &str) -> Result<T, ValidationErrors> {
-    let value: Value = serde_json::from_str(text).map_err(|e| single("", format!("not JSON: {e}")))?;
+    let value: Value = serde_json::from_str(text).map_err(|e| single_error("", format!("not JSON: {e}")))?;
     let schema = serde_json::to_value(schema_for!(T)).expect("a derived schema is JSON");
     let validator = jsonschema::validator_for(&schema).expect("a derived schema is valid");
-    let mistakes: Vec<ValidationError> = validator
+    let errors: Vec<ValidationError> = validator
         .iter_errors(&value)
         .map(|e| ValidationError { path: e.instance_path.to_string(), text: e.to_string() })
         .collect();
-    if !mistakes.is_empty() {
-        return Err(ValidationErrors(mistakes));
+    if !errors.is_empty() {
+        return Err(ValidationErrors(errors));
     }
-    // The schema cannot express every format (an IP address and port, say), so the typed read may still fail.
-    serde_json::from_value(value).map_err(|e| single("", e.to_string()))
+    // The schema cannot express every format, such as an IP address and port, so deserialisation may still
+    // fail.
+    serde_json::from_value(value).map_err(|e| single_error("", e.to_string()))
 }
 
-fn single(path: &str, text: String) -> ValidationErrors {
+fn single_error(path: &str, text: String) -> ValidationErrors {
     ValidationErrors(vec![ValidationError { path: path.to_owned(), text }])
 }
 
-/// Checks names and the references between them.
-struct References<'a> {
+/// Checks names and the references between parts of a configuration.
+struct ReferenceChecker<'a> {
     configuration: &'a Configuration,
-    mistakes: Vec<ValidationError>,
+    errors: Vec<ValidationError>,
 }
 
-impl<'a> References<'a> {
+impl<'a> ReferenceChecker<'a> {
     fn new(configuration: &'a Configuration) -> Self {
-        Self { configuration, mistakes: Vec::new() }
+        Self { configuration, errors: Vec::new() }
     }
 
     fn check(mut self) -> Vec<ValidationError> {
         let c = self.configuration;
-        let domains = self.unique("domains", c.domains.iter().map(|d| d.name.as_str()));
-        let sites = self.unique("sites", c.sites.iter().map(|s| s.name.as_str()));
-        let classes = self.unique("classes", c.classes.iter().map(|x| x.name.as_str()));
-        let pools = self.unique("pools", c.pools.iter().map(|p| p.name.as_str()));
-        self.unique("models", c.models.iter().map(|m| m.name.as_str()));
-        self.unique("endpoints", c.endpoints.iter().map(|e| e.name.as_str()));
-        self.unique("services", c.services.iter().map(|s| s.name.as_str()));
-        self.unique("teams", c.teams.iter().map(|t| t.name.as_str()));
-        self.team_keys();
+        let domains = self.check_unique("domains", c.domains.iter().map(|d| d.name.as_str()));
+        let sites = self.check_unique("sites", c.sites.iter().map(|s| s.name.as_str()));
+        let classes = self.check_unique("classes", c.classes.iter().map(|x| x.name.as_str()));
+        let pools = self.check_unique("pools", c.pools.iter().map(|p| p.name.as_str()));
+        self.check_unique("models", c.models.iter().map(|m| m.name.as_str()));
+        self.check_unique("endpoints", c.endpoints.iter().map(|e| e.name.as_str()));
+        self.check_unique("services", c.services.iter().map(|s| s.name.as_str()));
+        self.check_unique("teams", c.teams.iter().map(|t| t.name.as_str()));
+        self.check_team_keys();
         for (i, pool) in c.pools.iter().enumerate() {
             for (j, class) in pool.classes.iter().enumerate() {
-                self.known(&classes, class, &format!("/pools/{i}/classes/{j}"));
+                self.check_defined(&classes, class, &format!("/pools/{i}/classes/{j}"));
             }
         }
         for (i, model) in c.models.iter().enumerate() {
-            self.known(&pools, &model.pool, &format!("/models/{i}/pool"));
-            self.known(&classes, &model.class, &format!("/models/{i}/class"));
-            self.served(i);
+            self.check_defined(&pools, &model.pool, &format!("/models/{i}/pool"));
+            self.check_defined(&classes, &model.class, &format!("/models/{i}/class"));
+            self.check_class_served(i);
         }
         for (i, endpoint) in c.endpoints.iter().enumerate() {
-            self.known(&domains, &endpoint.domain, &format!("/endpoints/{i}/domain"));
-            self.known(&sites, &endpoint.site, &format!("/endpoints/{i}/site"));
-            self.known(&pools, &endpoint.pool, &format!("/endpoints/{i}/pool"));
+            self.check_defined(&domains, &endpoint.domain, &format!("/endpoints/{i}/domain"));
+            self.check_defined(&sites, &endpoint.site, &format!("/endpoints/{i}/site"));
+            self.check_defined(&pools, &endpoint.pool, &format!("/endpoints/{i}/pool"));
         }
         for (i, service) in c.services.iter().enumerate() {
-            self.known(&pools, &service.pool, &format!("/services/{i}/pool"));
-            self.service_only(i);
+            self.check_defined(&pools, &service.pool, &format!("/services/{i}/pool"));
+            self.check_services_only(i);
         }
         for (i, link) in c.links.iter().enumerate() {
-            self.known(&domains, &link.from, &format!("/links/{i}/from"));
-            self.known(&domains, &link.to, &format!("/links/{i}/to"));
+            self.check_defined(&domains, &link.from, &format!("/links/{i}/from"));
+            self.check_defined(&domains, &link.to, &format!("/links/{i}/to"));
         }
-        self.mistakes
+        self.errors
     }
 
-    /// Each key is a digest, and belongs to one team: the other one's callers would be taken for the first's.
-    fn team_keys(&mut self) {
-        let mut holders = HashMap::new();
+    /// Each key must be a digest and belong to one team: callers of a second team with the same key would be
+    /// identified as the first team's.
+    fn check_team_keys(&mut self) {
+        let mut owners = HashMap::new();
         for (i, team) in self.configuration.teams.iter().enumerate() {
             for (j, key) in team.keys.iter().enumerate() {
                 let path = format!("/teams/{i}/keys/{j}");
                 if key.len() != KEY_DIGITS || !key.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f')) {
-                    // What stands here may be the key itself, so that it is not repeated.
+                    // The value may be the key itself, so the message does not repeat it.
                     self.add(path, format!("not a digest; allowed: {KEY_DIGITS} digits of 0-9 and a-f"));
                     continue;
                 }
-                let holder = *holders.entry(key.as_str()).or_insert(team.name.as_str());
-                if holder != team.name {
-                    self.add(
-                        path,
-                        format!("team {holder:?} has this key as well; a key belongs to one team"),
-                    );
+                let owner = *owners.entry(key.as_str()).or_insert(team.name.as_str());
+                if owner != team.name {
+                    self.add(path, format!("team {owner:?} has this key as well; a key belongs to one team"));
                 }
             }
         }
     }
 
-    fn unique(&mut self, part: &str, names: impl Iterator<Item = &'a str>) -> HashSet<&'a str> {
+    fn check_unique(&mut self, list: &str, names: impl Iterator<Item = &'a str>) -> HashSet<&'a str> {
         let mut seen = HashSet::new();
         for (i, name) in names.enumerate() {
             if !seen.insert(name) {
-                self.add(format!("/{part}/{i}/name"), format!("{name:?} is used twice; names are unique"));
+                self.add(format!("/{list}/{i}/name"), format!("{name:?} is used twice; names are unique"));
             }
         }
         seen
     }
 
-    fn known(&mut self, names: &HashSet<&str>, name: &str, path: &str) {
+    fn check_defined(&mut self, names: &HashSet<&str>, name: &str, path: &str) {
         if names.contains(name) {
             return;
         }
@@ -159,8 +158,8 @@
         self.add(path.to_owned(), format!("{name:?} is not defined; allowed: {}", allowed.join(", ")));
     }
 
-    /// A model's pool must serve the model's class, or its requests would have nowhere to go.
-    fn served(&mut self, model: usize) {
+    /// A model's pool must serve the model's class; otherwise no endpoint could take its requests.
+    fn check_class_served(&mut self, model: usize) {
         let model_entry = &self.configuration.models[model];
         let Some(pool) = self.configuration.pools.iter().find(|p| p.name == model_entry.pool) else {
             return;
@@ -177,10 +176,10 @@
     }
 
     /// A service's pool must hold plain services only: an engine does not understand their calls.
-    fn service_only(&mut self, service: usize) {
+    fn check_services_only(&mut self, service: usize) {
         let pool = &self.configuration.services[service].pool;
-        let stray = self.configuration.endpoints.iter().find(|e| &e.pool == pool && e.role != Role::Service);
-        if let Some(endpoint) = stray {
+        let engine = self.configuration.endpoints.iter().find(|e| &e.pool == pool && e.role != Role::Service);
+        if let Some(endpoint) = engine {
             let text =
                 format!("pool {pool:?} holds the engine {:?}; allowed: role service only", endpoint.name);
             self.add(format!("/services/{service}/pool"), text);
@@ -188,6 +187,6 @@
     }
 
     fn add(&mut self, path: String, text: String) {
-        self.mistakes.push(ValidationError { path, text });
+        self.errors.push(ValidationError { path, text });
     }
 }
--- a/crates/settings/src/configuration.rs
+++ b/crates/settings/src/configuration.rs
@@ -10,16 +10,16 @@
     /// Number of this version; a higher number replaces a lower one everywhere.
     #[schemars(range(min = 1))]
     pub version: u64,
-    /// Name of the deployment, to keep two fleets from being mixed up.
+    /// Name of the deployment, which keeps two fleets from being confused.
     #[schemars(length(min = 1))]
     pub deployment: String,
-    /// Failure domains, each of which can be cut off from the others.
+    /// Failure domains, each of which a network partition can separate from the others.
     #[schemars(length(min = 1))]
     pub domains: Vec<Domain>,
     /// Data centres between which work moves.
     #[schemars(length(min = 1))]
     pub sites: Vec<Site>,
-    /// Kinds of work with a priority and latency targets.
+    /// Classes of requests, each with a priority and latency targets.
     #[schemars(length(min = 1))]
     pub classes: Vec<Class>,
     /// Groups of endpoints that never share work with each other.
@@ -27,12 +27,12 @@
     pub pools: Vec<Pool>,
     /// Model names that callers use.
     pub models: Vec<Model>,
-    /// Every back end of the fleet.
+    /// All endpoints of the fleet.
     pub endpoints: Vec<Endpoint>,
-    /// Plain services beside the engines.
+    /// Plain services in addition to the engines.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Teams with a share of their own; any other caller counts as one more team of weight 1.
+    /// Teams with a share of their own; any other caller counts as an additional team of weight 1.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Links of limited rate between failure domains.
@@ -50,11 +50,11 @@
     /// Unique name.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// Region that the domain lies in.
+    /// Region that the domain is in.
     pub region: String,
 }
 
-/// A data centre, with the share of new work that it should get while work moves.
+/// A data centre, with the share of new work that it gets while work moves between sites.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
@@ -66,17 +66,17 @@
     pub share: u32,
 }
 
-/// A kind of work.
+/// A class of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Unique name.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// 0 is served first, 9 last.
+    /// Priority: 0 is served first, 9 last.
     #[schemars(range(max = 9))]
     pub priority: u8,
-    /// Target for the first token, in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     #[schemars(range(min = 1))]
     pub first_ms: u64,
     /// Target for the gap between tokens, in milliseconds.
@@ -94,11 +94,11 @@
     /// Unique name.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// Classes that the pool serves; work of any other class is never sent here.
+    /// Classes that the pool serves; requests of any other class are never sent to it.
     pub classes: Vec<String>,
 }
 
-/// A model name as callers give it.
+/// A model name that callers use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
@@ -115,26 +115,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Engine that turns a prompt into KV cache.
+    /// Engine that prefills a prompt into a KV cache.
     Prefill,
-    /// Engine that generates tokens from KV cache.
+    /// Engine that generates tokens from a KV cache.
     Decode,
     /// Plain HTTP service.
     Service,
 }
 
-/// What an operator wants of an endpoint.
+/// State that an operator gives an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
     /// Takes new work.
     #[default]
     Active,
-    /// Finishes what it has and gets nothing new.
+    /// Finishes its requests and gets no new ones.
     Draining,
 }
 
-/// A back end.
+/// An endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
@@ -151,13 +151,13 @@
     pub pool: String,
     /// What it does.
     pub role: Role,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at once.
     #[schemars(range(min = 1, max = 4096))]
     pub slots: u32,
     /// Whether it takes new work.
     #[serde(default)]
     pub state: EndpointState,
-    /// What it should have loaded; absent where the system gives no orders.
+    /// What it should have loaded; absent where the system sends no orders.
     #[serde(default)]
     pub load: Option<Load>,
 }
@@ -186,9 +186,9 @@
     pub name: String,
     /// Pool of endpoints with role `service`.
     pub pool: String,
-    /// Methods whose calls are idempotent and may be repeated; all others run at most once.
+    /// Methods whose calls are idempotent and may be repeated; calls of all others run at most once.
     pub repeatable: Vec<String>,
-    /// How long one call may take, in milliseconds.
+    /// Timeout of one call, in milliseconds.
     #[schemars(range(min = 1, max = 600_000))]
     pub timeout_ms: u64,
     /// Whether callers need no key.
@@ -198,43 +198,45 @@
 
 /// A team of callers.
 ///
-/// Where no team of a version has keys, callers name their team in the header `OpenAI-Organization`, and anybody may. Where one
-/// has, all callers show a key, but for those of public services.
+/// Where no team of a configuration version has keys, callers name their team in the header
+/// `OpenAI-Organization`, without authentication. Where a team has keys, all callers present a key, except
+/// callers of public services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// Unique name.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// Relative share of a full pool.
+    /// Relative share of a pool when the pool is full.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
-    /// SHA-256 of each of its keys, in hexadecimal digits, so that the configuration holds no secret; `teaselctl team-key`
-    /// makes both.
+    /// SHA-256 of each of its keys, in hexadecimal digits, so that the configuration holds no secret;
+    /// `teaselctl team-key` generates a key and its digest.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// What it may ask of all instances together; absent for no limit.
+    /// What it may request of all instances together; absent for no limit.
     #[serde(default)]
     pub limit: Option<TeamLimit>,
 }
 
-/// In what a team's limit is counted.
+/// Unit in which a team's limit is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TeamUnit {
-    /// Each request is one.
+    /// Each request counts as one.
     Requests,
-    /// A generation is its prompt tokens and the most tokens that it may make; a service call is `plain` of them.
+    /// A generation counts its prompt tokens and the largest number of output tokens that it allows; a
+    /// service call counts `plain` tokens.
     Tokens,
 }
 
-/// What a team may ask of all instances together.
+/// What a team may request of all instances together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TeamLimit {
-    /// In what it is counted.
+    /// Unit in which it is counted.
     pub unit: TeamUnit,
-    /// Units a second.
+    /// Units per second.
     #[schemars(range(min = 1))]
     pub rate: u32,
     /// Units at once.
@@ -253,7 +255,7 @@
     pub from: String,
     /// The other end; the same name for traffic inside a domain.
     pub to: String,
-    /// Rate in bytes a second.
+    /// Rate in bytes per second.
     #[schemars(range(min = 1))]
     pub rate: u64,
 }
@@ -262,27 +264,28 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// A stream with no token for this long is taken for silent, in milliseconds.
+    /// A stream without a token for this long has stalled, in milliseconds.
     #[schemars(range(min = 50, max = 600_000))]
     pub stall_ms: u64,
-    /// A prefill or transfer that takes longer has failed, in milliseconds.
+    /// Timeout of a prefill or of a transfer, in milliseconds.
     #[schemars(range(min = 50, max = 600_000))]
     pub step_ms: u64,
     /// Attempts of one request, the first included.
     #[schemars(range(min = 1, max = 20))]
     pub attempts: u32,
-    /// Retries allowed for each 100 requests, fleet-wide average of one instance.
+    /// Further attempts allowed per 100 requests, as an average over all requests of one instance, whichever
+    /// part of the fleet serves them.
     #[schemars(range(max = 100))]
     pub retry_percent: u32,
-    /// How long an idempotency key is remembered, in seconds; callers must not retry later than this.
+    /// Retention period of idempotency keys, in seconds; callers must not retry later than this.
     #[schemars(range(min = 1, max = 86_400))]
     pub horizon_s: u64,
-    /// How far a caller's clock may be ahead of an instance's, in milliseconds; for idempotency keys that tell
-    /// when they were made.
+    /// How far a caller's clock may be ahead of an instance's, in milliseconds; for idempotency keys that
+    /// state when they were created.
     #[schemars(range(max = 600_000))]
     pub skew_ms: u64,
-    /// Prefills that one prefill engine may have running and waiting, per 100 slots; low saves prefill
-    /// work at a fault, high keeps the engines busy.
+    /// Prefills that one prefill engine may have running and waiting, per 100 slots. A low value saves
+    /// prefill work at a failure, a high value keeps the engines busy.
     #[schemars(range(min = 100, max = 1000))]
     pub backlog_percent: u32,
     /// Endpoints of one pool that may load weights at once.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,13 +1,14 @@
-//! What operators write: the settings of one instance and the numbered configuration of the fleet.
+//! The documents that operators write: the settings of one instance and the numbered configuration of the
+//! fleet.
 //!
-//! Both are JSON. A document is read in two passes. The first holds it against a schema derived from the
-//! types in this crate, so that *every* mistake of shape is reported with its JSON path, not only the
-//! first. The second checks what a schema cannot say: that names are unique and that references between
-//! parts of a configuration lead somewhere.
+//! Both are JSON. A document is read in two passes. The first pass validates it against a schema derived from
+//! the types in this crate, so that *every* error of its structure is reported with its JSON path, not only
+//! the first. The second pass checks what a schema cannot express: that names are unique and that references
+//! between parts of a configuration resolve.
 //!
-//! Invariant: a [`Configuration`] or [`Settings`] that left [`parse_configuration`] or [`parse_settings`]
-//! holds no dangling reference and no duplicate name. It is never changed afterwards; a new version is a
-//! new value.
+//! Invariant: a [`Configuration`] or [`Settings`] returned by [`parse_configuration`] or [`parse_settings`]
+//! holds no dangling reference and no duplicate name. It is never changed afterwards; a new version is a new
+//! value.
 
 mod check;
 mod configuration;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -5,14 +5,14 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What one process is told at its start.
+/// Settings that a process reads at its start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of the instance, unique in the fleet and the subject of its certificate.
     #[schemars(length(min = 1))]
     pub instance: String,
-    /// Failure domain that it runs in.
+    /// Failure domain that the instance runs in.
     #[schemars(length(min = 1))]
     pub domain: String,
     /// Name of the deployment; a configuration of another one is refused.
@@ -23,12 +23,12 @@
     /// Addresses of the platform's configuration service, tried in turn.
     #[schemars(length(min = 1))]
     pub platform: Vec<SocketAddr>,
-    /// Peers to ask when the platform cannot be reached at the start.
+    /// Peers to query when the platform cannot be reached at the start.
     #[serde(default)]
     pub seeds: Vec<Seed>,
     /// Keys for the connections between instances.
     pub keys: Keys,
-    /// Bounds on what callers may take.
+    /// Limits on the resources that callers may use.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -60,7 +60,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
-    /// Certificates of the authorities that sign instances; more than one while keys are rotated.
+    /// Certificates of the authorities that sign the certificates of instances; more than one during a key
+    /// rotation.
     pub authority: String,
     /// Certificate chain of this instance.
     pub certificate: String,
@@ -68,7 +69,7 @@
     pub private: String,
 }
 
-/// Bounds on what callers may take of one instance.
+/// Limits on the resources of one instance that callers may use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
@@ -78,23 +79,23 @@
     /// Requests in progress at once.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub requests: usize,
-    /// Connections of callers at once; more are closed at once.
+    /// Connections of callers at once; further ones are closed immediately.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: usize,
-    /// How long a connection may stand idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     #[schemars(range(min = 100, max = 86_400_000))]
     pub idle_ms: u64,
-    /// How long a caller may take to send its request, in milliseconds.
+    /// Timeout for receiving a request, in milliseconds.
     #[schemars(range(min = 100, max = 600_000))]
     pub receive_ms: u64,
-    /// Threads for traffic; the control thread comes on top. Idle threads look for work, so more than needed
-    /// cost processor time.
+    /// Threads for traffic, in addition to the control thread. Idle threads search for work, so more threads
+    /// than needed cost processor time.
     #[schemars(range(min = 1, max = 256))]
     pub threads: usize,
     /// Default deadline of a request, in milliseconds.
     #[schemars(range(min = 100, max = 86_400_000))]
     pub deadline_ms: u64,
-    /// How long a planned stop waits for requests in progress, in milliseconds.
+    /// How long a graceful shutdown waits for requests in progress, in milliseconds.
     #[schemars(range(min = 100, max = 86_400_000))]
     pub drain_ms: u64,
 }
