--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,5 @@
-//! What goes over wires: the engines' and the platform's published protocols, and the messages of peers.
+//! Protocols on the wire: the published protocols of the engines and of the platform, and the messages
+//! between peers.
 //!
 //! The types of [`engine`] and [`platform`] mirror docs/ENGINE.md and docs/PLATFORM.md field by field. Peers
 //! exchange one [`Message`](teaselshunt_core::Message) per QUIC stream, encoded by [`peer`].
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,11 +1,11 @@
-//! Codec of the messages between instances: one message a QUIC stream, in postcard.
+//! Codec of the messages between instances: one message per QUIC stream, in postcard.
 
 use teaselshunt_core::Message;
 
-/// Largest message; a configuration of a megabyte and its envelope fit.
+/// Largest message in bytes; a configuration of a megabyte and its envelope fit.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Bytes from a peer that are not a message.
+/// Bytes from a peer that do not decode to a message.
 #[derive(Debug, thiserror::Error)]
 #[error("not a message of this protocol: {0}")]
 pub struct DecodeError(#[from] postcard::Error);
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -1,28 +1,28 @@
-//! The answer of the operators' listener to `GET /status`.
+//! Response of the operators' listener to `GET /status`.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use teaselshunt_settings::Role;
 
-/// One instance's view of itself and of the fleet.
+/// State of one instance and of the fleet, as this instance sees them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the instance.
     pub instance: String,
     /// Failure domain.
     pub domain: String,
-    /// Configuration version in force, 0 for none.
+    /// Active configuration version, 0 for none.
     pub version: u64,
-    /// List revision in use, 0 for none.
+    /// Active revision of the list of instances, 0 for none.
     pub revision: u64,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
     /// Requests in progress.
     pub requests: usize,
     /// Requests waiting for a slot, by pool.
     pub waiting: BTreeMap<String, usize>,
-    /// Requests taken since the start.
+    /// Requests received since the start.
     pub arrived: u64,
     /// Refusals since the start, by code.
     pub refused: BTreeMap<String, u64>,
@@ -30,9 +30,9 @@
     pub members: Vec<MemberStatus>,
     /// Endpoints.
     pub endpoints: Vec<EndpointStatus>,
-    /// Counts since the start, by class and site.
+    /// Counters since the start, by class and site.
     pub classes: Vec<ClassStatus>,
-    /// Limits of teams; absent from instances of earlier builds.
+    /// Limits of teams; absent in responses of earlier builds.
     #[serde(default)]
     pub teams: Vec<TeamStatus>,
 }
@@ -42,11 +42,11 @@
 pub struct TeamStatus {
     /// Name.
     pub name: String,
-    /// Units a second.
+    /// Units per second.
     pub rate: u32,
     /// Units at once.
     pub burst: u32,
-    /// Units that may be admitted now; below zero while the instance makes up for too many.
+    /// Units that may be admitted now; negative while the refill makes up for admissions beyond the limit.
     pub level: i64,
     /// Units that the instance has admitted since its start.
     pub admitted: i64,
@@ -61,9 +61,9 @@
     pub domain: String,
     /// `unknown`, `alive`, `suspect` or `dead`.
     pub health: String,
-    /// Configuration version that it last told of.
+    /// Configuration version that it reported last.
     pub version: u64,
-    /// Whether it leaves.
+    /// Whether it is shutting down, or marked as leaving in the list of instances.
     pub leaving: bool,
 }
 
@@ -76,33 +76,33 @@
     pub site: String,
     /// Pool.
     pub pool: String,
-    /// What it does.
+    /// Role of the endpoint.
     pub role: Role,
-    /// Requests of this instance there.
+    /// Requests of this instance at the endpoint.
     pub own: u32,
-    /// Requests of others there, by the last report.
+    /// Requests of other instances at the endpoint, by the last report.
     pub others: u32,
     /// Slots.
     pub slots: u32,
-    /// Whether it gets no new work.
+    /// Whether it is draining or removed, and gets no new work.
     pub leaving: bool,
-    /// Whether it answers.
+    /// Whether it is reachable.
     pub reachable: bool,
 }
 
-/// Counts of one class at one site.
+/// Counters of one class at one site.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassStatus {
     /// Class.
     pub class: String,
     /// Data centre.
     pub site: String,
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Whole answers within both targets.
+    /// Complete responses within both latency targets.
     pub good: u64,
     /// Prompt tokens prefilled.
     pub prefilled: u64,
-    /// Prompt tokens prefilled and not used.
+    /// Prompt tokens that were prefilled and not used.
     pub wasted: u64,
 }
