--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: settings or a configuration, with every mistake.
+//! `check`: validates settings or a configuration and prints every error.
 
 use gumdrop::Options;
 use serde_json::Value;
@@ -17,8 +17,8 @@
 pub(crate) fn run(arguments: &Arguments) -> Result<(), Failure> {
     let path = arguments.file.clone();
     let text = read(&path)?;
-    // A configuration is told from settings by what only it must have; text that is neither is held against
-    // the configuration, whose mistakes say what is missing.
+    // Fields that only settings have tell them apart from a configuration. A document that is neither is
+    // validated as a configuration, whose errors say what is missing.
     let value: Option<Value> = serde_json::from_str(&text).ok();
     let is_settings = value.is_some_and(|v| v.get("instance").is_some() || v.get("listen").is_some());
     let kind = if is_settings {
@@ -26,7 +26,7 @@
     } else {
         parse_configuration(&text).map(|_| "configuration")
     };
-    let kind = kind.map_err(|mistakes| Failure::Mistakes { path: path.clone(), mistakes })?;
+    let kind = kind.map_err(|errors| Failure::Invalid { path: path.clone(), errors })?;
     println!("{path}: {kind} in order");
     Ok(())
 }
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: a planned stop of one instance, as by SIGTERM.
+//! `drain`: starts a graceful shutdown of one instance, as SIGTERM does.
 
 use std::net::SocketAddr;
 
@@ -16,8 +16,8 @@
 
 pub(crate) async fn run(arguments: &Arguments) -> Result<(), Failure> {
     let address = arguments.instance.ok_or_else(|| Failure::Usage("no instance was given".to_owned()))?;
-    let asked = client(address)?.post(format!("http://{address}/drain")).send().await;
-    asked
+    let response = client(address)?.post(format!("http://{address}/drain")).send().await;
+    response
         .and_then(reqwest::Response::error_for_status)
         .map_err(|error| Failure::Unreachable { address, error })?;
     println!("{address} is stopping; it finishes its requests and ends");
--- a/crates/ctl/src/commands/keys.rs
+++ b/crates/ctl/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: an authority, and a certificate and key for each instance.
+//! `keys`: generates a certificate authority, and a certificate and key for each instance.
 
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 pub(crate) struct Arguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(required, help = "directory to write to; an authority found there is used again")]
+    #[options(required, help = "directory to write to; an existing authority in it is reused")]
     directory: String,
     #[options(free, help = "names of instances")]
     instances: Vec<String>,
@@ -19,6 +19,6 @@
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), Failure> {
     generate_keys(Path::new(&arguments.directory), &arguments.instances)?;
-    println!("{} keys in {}", arguments.instances.len(), arguments.directory);
+    println!("{} keys written to {}", arguments.instances.len(), arguments.directory);
     Ok(())
 }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one a file.
+//! The commands, one per file.
 
 mod audit;
 mod check;
@@ -18,51 +18,51 @@
 pub(crate) enum Failure {
     #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
-    #[error("{path}: {} found:\n{mistakes}", count(.mistakes))]
-    Mistakes { path: String, mistakes: ValidationErrors },
+    #[error("{path}: {} found:\n{errors}", error_count(.errors))]
+    Invalid { path: String, errors: ValidationErrors },
     #[error("{0}")]
     Usage(String),
-    #[error("{address} cannot be asked: {error}")]
+    #[error("request to {address} failed: {error}")]
     Unreachable { address: SocketAddr, error: reqwest::Error },
     #[error(transparent)]
     Keys(#[from] teaselshunt_ctl::KeyError),
 }
 
 impl Failure {
-    /// Exit code for mistakes in arguments or documents.
+    /// Exit code for errors in arguments or documents.
     pub(crate) const USAGE: u8 = 2;
     const OTHER: u8 = 1;
 
     pub(crate) fn code(&self) -> u8 {
         match self {
-            Self::File { .. } | Self::Mistakes { .. } | Self::Usage(_) => Self::USAGE,
+            Self::File { .. } | Self::Invalid { .. } | Self::Usage(_) => Self::USAGE,
             Self::Unreachable { .. } | Self::Keys(_) => Self::OTHER,
         }
     }
 }
 
-fn count(mistakes: &ValidationErrors) -> String {
-    match mistakes.0.len() {
-        1 => "1 mistake".to_owned(),
-        n => format!("{n} mistakes"),
+fn error_count(errors: &ValidationErrors) -> String {
+    match errors.0.len() {
+        1 => "1 error".to_owned(),
+        n => format!("{n} errors"),
     }
 }
 
 #[derive(Debug, Options)]
 pub(crate) enum Command {
-    #[options(help = "check settings or a configuration and name every mistake")]
+    #[options(help = "validate settings or a configuration and print every error")]
     Check(check::Arguments),
-    #[options(help = "make the next version out of a patch, and say what it changes")]
+    #[options(help = "apply a patch to create the next version, and print what changes")]
     Patch(patch::Arguments),
-    #[options(help = "show what instances see: versions, members, endpoints, the move")]
+    #[options(help = "print what instances report: versions, members, endpoints, progress of a move")]
     Status(status::Arguments),
     #[options(help = "print an instance's audit trail")]
     Audit(audit::Arguments),
-    #[options(help = "ask an instance for a planned stop")]
+    #[options(help = "start a graceful shutdown of an instance")]
     Drain(drain::Arguments),
-    #[options(help = "make an authority and keys for instances")]
+    #[options(help = "generate a certificate authority and keys for instances")]
     Keys(keys::Arguments),
-    #[options(help = "make a key of a team, and its digest for the configuration")]
+    #[options(help = "generate a key for a team, and its digest for the configuration")]
     TeamKey(team_key::Arguments),
 }
 
@@ -87,11 +87,11 @@
     std::fs::read_to_string(path).map_err(|error| Failure::File { path: path.to_owned(), error })
 }
 
-/// Asks an instance's operators' listener.
+/// Queries the operators' listener of an instance.
 async fn get(address: SocketAddr, path: &str) -> Result<reqwest::Response, Failure> {
     let client = client(address)?;
-    let asked = client.get(format!("http://{address}{path}")).send().await;
-    asked
+    let response = client.get(format!("http://{address}{path}")).send().await;
+    response
         .and_then(reqwest::Response::error_for_status)
         .map_err(|error| Failure::Unreachable { address, error })
 }
--- a/crates/ctl/src/commands/patch.rs
+++ b/crates/ctl/src/commands/patch.rs
@@ -1,6 +1,6 @@
-//! `patch`: makes the next version out of a patch, and says what it changes.
+//! `patch`: applies a patch to a configuration to create the next version, and describes what changes.
 //!
-//! The result is for the operator to hand to the platform; nothing is sent anywhere.
+//! The command sends nothing. The operator passes the result to the platform.
 
 use gumdrop::Options;
 use serde_json::Value;
@@ -53,12 +53,12 @@
 }
 
 fn parse(path: &str, text: &str) -> Result<Configuration, Failure> {
-    parse_configuration(text).map_err(|mistakes| Failure::Mistakes { path: path.to_owned(), mistakes })
+    parse_configuration(text).map_err(|errors| Failure::Invalid { path: path.to_owned(), errors })
 }
 
 fn wrong_base(arguments: &Arguments, current: &Configuration) -> Result<Failure, Failure> {
     let mut text = format!(
-        "the patch was made against version {}, but version {} is published; make it again against that one",
+        "the patch was made against version {}, but version {} is published; recreate the patch against the published version",
         arguments.base, current.version
     );
     if let Some(was) = &arguments.was {
@@ -72,10 +72,10 @@
 }
 
 fn apply(patch: &str, text: &str, version: u64) -> Result<String, Failure> {
-    let wrong = |error: &dyn std::fmt::Display| Failure::Usage(format!("{patch}: {error}"));
-    let operations: json_patch::Patch = serde_json::from_str(&read(patch)?).map_err(|e| wrong(&e))?;
-    let mut value: Value = serde_json::from_str(text).map_err(|e| wrong(&e))?;
-    json_patch::patch(&mut value, &operations).map_err(|e| wrong(&e))?;
+    let failure = |error: &dyn std::fmt::Display| Failure::Usage(format!("{patch}: {error}"));
+    let operations: json_patch::Patch = serde_json::from_str(&read(patch)?).map_err(|e| failure(&e))?;
+    let mut value: Value = serde_json::from_str(text).map_err(|e| failure(&e))?;
+    json_patch::patch(&mut value, &operations).map_err(|e| failure(&e))?;
     value["version"] = version.into();
-    serde_json::to_string_pretty(&value).map_err(|e| wrong(&e))
+    serde_json::to_string_pretty(&value).map_err(|e| failure(&e))
 }
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what instances see, for people or as JSON.
+//! `status`: prints the state that instances report, as text or as JSON.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     instances: Vec<SocketAddr>,
     #[options(help = "print JSON")]
     json: bool,
-    #[options(help = "site that is being emptied: say what stands in the way of the move's end")]
+    #[options(help = "site that work moves away from: print what still delays the end of the move")]
     leaving: Option<String>,
 }
 
@@ -24,29 +24,29 @@
     if arguments.instances.is_empty() {
         return Err(Failure::Usage("no instance was given".to_owned()));
     }
-    let mut seen = Vec::new();
+    let mut statuses = Vec::new();
     for &address in &arguments.instances {
-        match ask(address).await {
-            Ok(status) => seen.push(status),
+        match query(address).await {
+            Ok(status) => statuses.push(status),
             Err(failure) => eprintln!("{failure}"),
         }
     }
     if arguments.json {
-        println!("{}", serde_json::to_string_pretty(&seen).expect("status is JSON"));
+        println!("{}", serde_json::to_string_pretty(&statuses).expect("status is JSON"));
         return Ok(());
     }
-    for status in &seen {
+    for status in &statuses {
         print_instance(status);
     }
-    print_sites(&seen);
-    print_teams(&seen);
+    print_sites(&statuses);
+    print_teams(&statuses);
     if let Some(site) = &arguments.leaving {
-        print_move(&seen, site);
+        print_move(&statuses, site);
     }
     Ok(())
 }
 
-async fn ask(address: SocketAddr) -> Result<Status, Failure> {
+async fn query(address: SocketAddr) -> Result<Status, Failure> {
     let response = get(address, "/status").await?;
     response.json().await.map_err(|error| Failure::Unreachable { address, error })
 }
@@ -70,15 +70,15 @@
     println!("  members: {}", counts.join(", "));
     for endpoint in status.endpoints.iter().filter(|e| e.leaving || !e.reachable) {
         let state = if endpoint.reachable { "leaving" } else { "unreachable" };
-        println!("  {}: {state}, {} of ours there", endpoint.name, endpoint.own);
+        println!("  {}: {state}, {} requests of this instance", endpoint.name, endpoint.own);
     }
 }
 
-/// Sums over instances, by site and class.
-fn print_sites(seen: &[Status]) {
+/// Prints sums over instances, by site and class.
+fn print_sites(statuses: &[Status]) {
     let mut in_flight: BTreeMap<&str, u32> = BTreeMap::new();
     let mut classes: BTreeMap<(&str, &str), [u64; 4]> = BTreeMap::new();
-    for status in seen {
+    for status in statuses {
         for endpoint in &status.endpoints {
             *in_flight.entry(&endpoint.site).or_default() += endpoint.own;
         }
@@ -100,35 +100,35 @@
     }
 }
 
-/// Limits of teams: what all instances admitted together, and which of them how much.
-fn print_teams(seen: &[Status]) {
+/// Prints the limits of teams: the units that all instances admitted together, and those of each instance.
+fn print_teams(statuses: &[Status]) {
     let mut teams: BTreeMap<&str, Vec<(&str, &TeamStatus)>> = BTreeMap::new();
-    for status in seen {
+    for status in statuses {
         for team in &status.teams {
             teams.entry(&team.name).or_default().push((&status.instance, team));
         }
     }
-    for (name, views) in teams {
-        let admitted: i64 = views.iter().map(|(_, team)| team.admitted).sum();
-        let least = views.iter().min_by_key(|(_, team)| team.level);
-        let Some((instance, team)) = least else { continue };
+    for (name, reports) in teams {
+        let admitted: i64 = reports.iter().map(|(_, team)| team.admitted).sum();
+        let lowest = reports.iter().min_by_key(|(_, team)| team.level);
+        let Some((instance, team)) = lowest else { continue };
         println!(
             "team {name}: limit {} a second, {} at once; {admitted} admitted, least left {} at {instance}",
             team.rate, team.burst, team.level
         );
-        for (instance, team) in &views {
+        for (instance, team) in &reports {
             println!("  {instance}: {} admitted, {} left", team.admitted, team.level);
         }
     }
 }
 
-fn print_move(seen: &[Status], site: &str) {
-    let versions: BTreeSet<u64> = seen.iter().map(|s| s.version).collect();
+fn print_move(statuses: &[Status], site: &str) {
+    let versions: BTreeSet<u64> = statuses.iter().map(|s| s.version).collect();
     let mut obstacles = Vec::new();
     if versions.len() > 1 {
         obstacles.push(format!("instances differ in version: {versions:?}"));
     }
-    for status in seen {
+    for status in statuses {
         for endpoint in status.endpoints.iter().filter(|e| e.site == site) {
             if !endpoint.leaving {
                 obstacles.push(format!("{} still takes new work at {}", endpoint.name, status.instance));
--- a/crates/ctl/src/commands/team_key.rs
+++ b/crates/ctl/src/commands/team_key.rs
@@ -1,12 +1,12 @@
-//! `team-key`: a new key of a team, and its digest for the configuration.
+//! `team-key`: generates a key for a team, and its digest for the configuration.
 
 use gumdrop::Options;
 use rand::Rng;
 use rand::distr::Alphanumeric;
 use teaselshunt_teams::ApiKey;
 
-/// Characters of a key: some 238 bits.
-const LENGTH: usize = 40;
+/// Characters of a key, which have about 238 bits of entropy.
+const KEY_CHARACTERS: usize = 40;
 
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
@@ -14,9 +14,9 @@
     help: bool,
 }
 
-/// Prints the key, which nothing keeps, and the digest.
+/// Prints the key, which is stored nowhere, and its digest.
 pub(crate) fn run(_arguments: &Arguments) {
-    let text: String = rand::rng().sample_iter(Alphanumeric).take(LENGTH).map(char::from).collect();
+    let text: String = rand::rng().sample_iter(Alphanumeric).take(KEY_CHARACTERS).map(char::from).collect();
     println!("key, for the team's callers only: {text}");
     println!("digest, for /teams/N/keys of the configuration: {}", ApiKey::new(text).digest().to_hex());
 }
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of a fleet: an authority, and a certificate and key for each instance.
+//! Keys of a fleet: a certificate authority, and a certificate and key for each instance.
 
 use std::path::{Path, PathBuf};
 
@@ -7,7 +7,7 @@
     KeyUsagePurpose,
 };
 
-/// Keys that could not be made.
+/// Failure to generate keys.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
     /// A file cannot be read or written.
@@ -18,16 +18,16 @@
         /// Why.
         error: std::io::Error,
     },
-    /// The cryptography library refuses.
-    #[error("keys cannot be made: {0}")]
+    /// The cryptography library reports an error.
+    #[error("cannot generate keys: {0}")]
     Generate(#[from] rcgen::Error),
 }
 
-/// Writes `NAME.pem` and `NAME.key` for each instance into a directory, signed by the authority found there
-/// or a new one.
+/// Writes `NAME.pem` and `NAME.key` for each instance into a directory. The certificates are signed by the
+/// authority found in the directory or by a new one.
 ///
 /// # Errors
-/// A file cannot be read or written, or a name cannot stand in a certificate.
+/// A file cannot be read or written, or a certificate cannot contain one of the names.
 pub fn generate_keys(directory: &Path, instances: &[String]) -> Result<(), KeyError> {
     std::fs::create_dir_all(directory)
         .map_err(|error| KeyError::File { path: directory.to_owned(), error })?;
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! What operators' tools need beyond the command line: keys of a fleet, and changes in plain words.
+//! Functions of the operators' tool beyond the command line: keys of a fleet, and readable differences
+//! between two configuration versions.
 
 mod changes;
 mod keys;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `teaselctl`: the operators' tool. It reads files and asks single instances; it writes no shared state.
+//! `teaselctl`: the operators' tool. It reads files and queries single instances; it writes no shared state.
 
 mod commands;
 
--- a/crates/ctl/tests/all/main.rs
+++ b/crates/ctl/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! The operators' tool as a process.
+//! Tests that run the operators' tool as a process.
 
-#![expect(clippy::unwrap_used, reason = "a test that cannot go on says so by a panic")]
+#![expect(clippy::unwrap_used, reason = "tests may panic")]
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_example_checks() {
+fn every_example_is_valid() {
     for fleet in ["britasol", "pindan"] {
         for entry in std::fs::read_dir(example(fleet)).unwrap() {
             let path = entry.unwrap().path();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn check_names_every_mistake_and_its_place() {
+fn check_prints_every_error_and_its_path() {
     let directory = TempDir::new().unwrap();
     let mut value: Value =
         serde_json::from_str(&std::fs::read_to_string(example("pindan/configuration.json")).unwrap())
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_patch_that_leaves_a_model_unserved_is_warned_of() {
+fn a_patch_that_leaves_a_model_unserved_causes_a_warning() {
     let directory = TempDir::new().unwrap();
     let base = example("pindan/configuration.json");
     let patch = write(
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn help_and_version_answer() {
+fn help_and_version_print_text() {
     for argument in ["--help", "--version"] {
         let output = ctl(&[argument]);
         assert!(output.status.success());
