--- a/crates/forward/src/accept.rs
+++ b/crates/forward/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, whoever they are from.
+//! Accepts connections for all listeners.
 
 use std::time::Duration;
 
@@ -7,8 +7,9 @@
 
 use crate::node::Node;
 
-/// Pause after a connection could not be accepted; mostly want of descriptors, which end of connections give back.
-const ACCEPT: Duration = Duration::from_millis(20);
+/// Pause after a connection could not be accepted. The usual cause is a lack of file descriptors, which
+/// closed connections release.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Waits for the next connection.
 pub(crate) async fn accept(node: &Node, listener: &TcpListener) -> TcpStream {
@@ -17,7 +18,7 @@
             Ok((stream, _)) => return stream,
             Err(error) => {
                 warn!(node.log, "accept"; "error" => %error);
-                tokio::time::sleep(ACCEPT).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -1,7 +1,8 @@
-//! Who a caller is, and whether its team's limit allows a request.
+//! Identifies callers and enforces their teams' rate limits.
 //!
-//! A request is charged when it is admitted, before it waits for anything, so that a team that floods takes no place in a
-//! queue from the others. What it was charged is given back when it ends and surely has not run.
+//! A request is charged when it is admitted, before it waits for anything, so that a team that floods takes
+//! no places in queues from other teams. The charge is refunded when the request ends and certainly has not
+//! run.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,9 +18,10 @@
 use crate::protocol::RequestMeta;
 use crate::trace::Trace;
 
-/// The team of a caller with this key; `None` where a route needs none.
+/// Identifies the team of a caller with this key; `None` where a route needs no key.
 ///
-/// A key that is known is a team's on public routes as well: the team is named to the endpoint and charged.
+/// A known key also identifies its team on public routes: the endpoint gets the team's name, and the team is
+/// charged.
 pub(crate) fn identify(
     routes: &RouteSet,
     route: &Route,
@@ -33,24 +35,24 @@
     Ok(team)
 }
 
-/// What a team was charged for a request. Dropped before the request can have run it is given back.
+/// The charge of a request to its team. Dropping it before the request can have run refunds it.
 #[derive(Debug)]
 pub(crate) struct Charge {
-    /// `None` where nothing was charged.
+    /// `None` if nothing was charged.
     team: Option<(Rc<Node>, TeamTag)>,
     cost: u64,
-    /// Sends to endpoints that may have run the request, or may still.
+    /// Attempts that may have run the request or may still run it.
     sends: Cell<u32>,
 }
 
 impl Charge {
-    /// The request is about to be sent to an endpoint that may run it.
-    pub(crate) fn send(&self) {
+    /// Records that the request is about to be sent to an endpoint that may run it.
+    pub(crate) fn record_send(&self) {
         self.sends.set(self.sends.get() + 1);
     }
 
-    /// The endpoint has not run it and will not.
-    pub(crate) fn unsend(&self) {
+    /// Records that the endpoint has not run the request and will not.
+    pub(crate) fn undo_send(&self) {
         self.sends.set(self.sends.get().saturating_sub(1));
     }
 }
@@ -65,7 +67,7 @@
     }
 }
 
-/// Charges a request to its team, or refuses it because the team is at its limit.
+/// Charges a request to its team; refuses the request if the team is at its limit.
 pub(crate) fn charge(
     node: &Rc<Node>,
     team: Option<&Team>,
@@ -81,17 +83,17 @@
     let tag = team.tag();
     match state.quotas.admit(node.clock.uptime(), tag, cost) {
         Ok(()) => Ok(Charge { team: Some((Rc::clone(node), tag)), cost, sends }),
-        Err(shortage) => {
-            let part = state.rng.random_range(0.0..1.0);
-            let (level, held) = (state.quotas.level(tag).unwrap_or(0.0), state.quotas.reachable_share());
-            trace.step("limit", &team.name, &format!("cost:{cost},left:{level:.0},part:{held:.2}"));
-            Err(Refusal::retryable(ErrorKind::QuotaExceeded, way_back(shortage, part)))
+        Err(exceeded) => {
+            let fraction = state.rng.random_range(0.0..1.0);
+            let (level, share) = (state.quotas.level(tag).unwrap_or(0.0), state.quotas.reachable_share());
+            trace.record_step("limit", &team.name, &format!("cost:{cost},left:{level:.0},part:{share:.2}"));
+            Err(Refusal::retryable(ErrorKind::QuotaExceeded, retry_delay(exceeded, fraction)))
         }
     }
 }
 
-/// When to come back. Whoever is refused by one account is refused with many others; told the same time, they would all
-/// come back at once and find the account as empty.
-fn way_back(shortage: LimitExceeded, part: f64) -> Duration {
-    shortage.wait + shortage.backlog.mul_f64(part)
+/// `Retry-After` delay. A request refused by a token bucket is one of many; with the same delay, all these
+/// callers would retry at once and find the bucket as empty.
+fn retry_delay(exceeded: LimitExceeded, fraction: f64) -> Duration {
+    exceeded.wait + exceeded.backlog.mul_f64(fraction)
 }
--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -1,8 +1,9 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 //!
-//! A caller may read slowly or not at all. A whole answer is handed to its connection in pieces, so that it counts as held
-//! until nearly all of it is written; of a stream some pieces wait, and then its endpoint is read no further. [`Unread`] ends
-//! connections whose callers read nothing for long after they stopped waiting.
+//! A caller may read slowly or not at all. A complete response is passed to its connection in pieces, so that
+//! its bytes stay accounted until nearly all are written. Of a stream a limited number of pieces waits, after
+//! which the endpoint is not read any further. [`ReadDeadline`] closes connections whose callers do not read
+//! their response until long after their deadline.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -16,193 +17,196 @@
 
 use crate::buffering::BufferedBytes;
 
-/// The answer cannot be completed; the caller's connection is closed so that it does not look whole.
+/// The response cannot be completed. The caller's connection is closed so that the response does not look
+/// complete.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
-#[error("the answer broke off")]
-pub(crate) struct Broken;
+#[error("the response was truncated")]
+pub(crate) struct Truncated;
 
-/// A body, and until when its caller may take to read it.
+/// A body, with the time until which its caller must read it.
 #[derive(Debug)]
-pub(crate) struct AnswerBody {
+pub(crate) struct ResponseBody {
     content: Content,
-    unread: Option<Rc<Unread>>,
+    read_deadline: Option<Rc<ReadDeadline>>,
 }
 
 #[derive(Debug)]
 enum Content {
-    Whole(Whole),
+    Complete(Complete),
     Relay(Relay),
 }
 
-impl AnswerBody {
-    /// A short one, which is not on any account.
+impl ResponseBody {
+    /// A short body that is not accounted in the buffer memory.
     pub(crate) fn short(bytes: Bytes) -> Self {
-        Self::whole(bytes, None)
+        Self::complete(bytes, None)
     }
 
-    /// One that is at hand.
-    pub(crate) fn whole(rest: Bytes, holding: Option<BufferedBytes>) -> Self {
-        Self { content: Content::Whole(Whole { rest, _holding: holding }), unread: None }
+    /// A body that is complete.
+    pub(crate) fn complete(rest: Bytes, buffered: Option<BufferedBytes>) -> Self {
+        Self { content: Content::Complete(Complete { rest, _buffered: buffered }), read_deadline: None }
     }
 
-    /// One that arrives piece by piece.
+    /// A body that arrives in pieces.
     pub(crate) fn relay(relay: Relay) -> Self {
-        Self { content: Content::Relay(relay), unread: None }
+        Self { content: Content::Relay(relay), read_deadline: None }
     }
 
-    /// Has the connection closed if the body is not read by a time.
+    /// Closes the connection if the body is not read by `until`. A complete body of at most one piece has no
+    /// such limit.
     #[must_use]
-    pub(crate) fn until(mut self, unread: &Rc<Unread>, until: Instant) -> Self {
-        let short = matches!(&self.content, Content::Whole(whole) if whole.rest.len() <= PIECE);
+    pub(crate) fn with_read_deadline(mut self, read_deadline: &Rc<ReadDeadline>, until: Instant) -> Self {
+        let short =
+            matches!(&self.content, Content::Complete(complete) if complete.rest.len() <= PIECE_BYTES);
         if !short {
-            unread.begin(until);
-            self.unread = Some(Rc::clone(unread));
+            read_deadline.set(until);
+            self.read_deadline = Some(Rc::clone(read_deadline));
         }
         self
     }
 }
 
-impl Drop for AnswerBody {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        if let Some(unread) = self.unread.take() {
-            unread.end();
+        if let Some(read_deadline) = self.read_deadline.take() {
+            read_deadline.clear();
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match &mut self.content {
-            Content::Whole(whole) => Poll::Ready(whole.next().map(|piece| Ok(Frame::data(piece)))),
+            Content::Complete(complete) => Poll::Ready(complete.next().map(|piece| Ok(Frame::data(piece)))),
             Content::Relay(relay) => relay.poll(context).map(|piece| piece.map(|r| r.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.content, Content::Whole(whole) if whole.rest.is_empty())
+        matches!(&self.content, Content::Complete(complete) if complete.rest.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(whole) => SizeHint::with_exact(whole.rest.len() as u64),
+            Content::Complete(complete) => SizeHint::with_exact(complete.rest.len() as u64),
             Content::Relay(_) => SizeHint::default(),
         }
     }
 }
 
-/// Bytes that are handed over at a time.
-const PIECE: usize = 16 * 1024;
+/// Bytes that are passed to the connection at a time.
+const PIECE_BYTES: usize = 16 * 1024;
 
-/// A body that is at hand.
+/// A body that is complete.
 #[derive(Debug)]
-struct Whole {
+struct Complete {
     rest: Bytes,
-    _holding: Option<BufferedBytes>,
+    _buffered: Option<BufferedBytes>,
 }
 
-impl Whole {
+impl Complete {
     fn next(&mut self) -> Option<Bytes> {
         if self.rest.is_empty() {
             return None;
         }
-        Some(self.rest.split_to(PIECE.min(self.rest.len())))
+        Some(self.rest.split_to(PIECE_BYTES.min(self.rest.len())))
     }
 }
 
-/// A body that arrives piece by piece. Dropping it tells the sender that the caller has gone.
+/// A body that arrives in pieces. Dropping it tells the sender that the caller has disconnected.
 #[derive(Debug)]
 pub(crate) struct Relay {
     pieces: mpsc::Receiver<Piece>,
-    whole: Rc<Cell<bool>>,
+    complete: Rc<Cell<bool>>,
 }
 
 impl Relay {
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Truncated>>> {
         self.pieces.poll_recv(context).map(|piece| match piece {
             Some(piece) => Some(Ok(piece.data)),
-            None if self.whole.get() => None,
-            None => Some(Err(Broken)),
+            None if self.complete.get() => None,
+            None => Some(Err(Truncated)),
         })
     }
 }
 
-/// A piece that waits for its caller, and its room.
+/// A piece that waits for its caller, with its accounted memory.
 #[derive(Debug)]
 struct Piece {
     data: Bytes,
-    _holding: Option<BufferedBytes>,
+    _buffered: Option<BufferedBytes>,
 }
 
 /// Pieces that may wait for a slow caller.
-const WAITING: usize = 16;
+const MAX_WAITING_PIECES: usize = 16;
 
-/// The caller has gone.
+/// The caller has disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Gone;
+pub(crate) struct Disconnected;
 
-/// Fills a [`Relay`]. Dropped before [`Pieces::end`] it breaks the answer off.
+/// Fills a [`Relay`]. Dropping it before [`PieceSender::end`] breaks off the response.
 #[derive(Debug)]
-pub(crate) struct Pieces {
+pub(crate) struct PieceSender {
     sender: mpsc::Sender<Piece>,
-    whole: Rc<Cell<bool>>,
+    complete: Rc<Cell<bool>>,
 }
 
-impl Pieces {
-    /// Passes a piece on as soon as there is room for it. Where the account of this instance has none, the caller must
-    /// have taken all that came before.
-    pub(crate) async fn send(&self, data: Bytes, mut holding: BufferedBytes) -> Result<(), Gone> {
-        if holding.grow(data.len()).is_err() {
-            drop(self.sender.reserve_many(WAITING).await.map_err(|_| Gone)?);
+impl PieceSender {
+    /// Passes on a piece as soon as the channel has room. If the instance has no buffer memory left, the
+    /// caller must first have taken all earlier pieces.
+    pub(crate) async fn send(&self, data: Bytes, mut buffered: BufferedBytes) -> Result<(), Disconnected> {
+        if buffered.grow(data.len()).is_err() {
+            drop(self.sender.reserve_many(MAX_WAITING_PIECES).await.map_err(|_| Disconnected)?);
         }
-        self.sender.send(Piece { data, _holding: Some(holding) }).await.map_err(|_| Gone)
+        self.sender.send(Piece { data, _buffered: Some(buffered) }).await.map_err(|_| Disconnected)
     }
 
-    /// Waits until the caller has gone.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.sender.closed().await;
     }
 
-    /// The answer is whole.
+    /// Marks the response as complete.
     pub(crate) fn end(self) {
-        self.whole.set(true);
+        self.complete.set(true);
     }
 }
 
-/// A body and the way to fill it.
-pub(crate) fn relay() -> (Pieces, Relay) {
-    let (sender, pieces) = mpsc::channel(WAITING);
-    let whole = Rc::new(Cell::new(false));
-    (Pieces { sender, whole: Rc::clone(&whole) }, Relay { pieces, whole })
+/// Creates a body and its sender.
+pub(crate) fn relay() -> (PieceSender, Relay) {
+    let (sender, pieces) = mpsc::channel(MAX_WAITING_PIECES);
+    let complete = Rc::new(Cell::new(false));
+    (PieceSender { sender, complete: Rc::clone(&complete) }, Relay { pieces, complete })
 }
 
-/// Until when the caller of a connection has to read the answer that is on its way.
+/// Time until which the caller of a connection must read the current response.
 #[derive(Debug, Default)]
-pub(crate) struct Unread {
+pub(crate) struct ReadDeadline {
     until: Cell<Option<Instant>>,
-    begun: Notify,
+    started: Notify,
 }
 
-impl Unread {
-    fn begin(&self, until: Instant) {
+impl ReadDeadline {
+    fn set(&self, until: Instant) {
         self.until.set(Some(until));
-        self.begun.notify_one();
+        self.started.notify_one();
     }
 
-    fn end(&self) {
+    fn clear(&self) {
         self.until.set(None);
     }
 
-    /// Waits until an answer has not been read in time.
+    /// Waits until a response was not read in time.
     pub(crate) async fn overdue(&self) {
         loop {
             let Some(until) = self.until.get() else {
-                self.begun.notified().await;
+                self.started.notified().await;
                 continue;
             };
             tokio::time::sleep_until(until.into()).await;
--- a/crates/forward/src/buffering.rs
+++ b/crates/forward/src/buffering.rs
@@ -1,4 +1,5 @@
-//! Bytes that are held for callers and endpoints, on the account of this instance's [`BodyMemory`](teaselshunt_routing::BodyMemory).
+//! Bytes that are buffered for callers and endpoints, accounted in the instance's
+//! [`BodyMemory`](teaselshunt_routing::BodyMemory).
 
 use std::rc::Rc;
 
@@ -12,53 +13,53 @@
 /// Why a body was not read to its end.
 #[derive(Debug)]
 pub(crate) enum CollectError<E> {
-    /// It broke off, or is not as it should be.
+    /// The body ended early or is invalid.
     Body(E),
-    /// There is no room for so many bytes of it.
+    /// There is not enough memory for this many bytes of the body.
     Full(MemoryFull, usize),
 }
 
-/// Room for bytes; dropping it gives it back.
+/// Accounted buffer memory; dropping it releases the memory.
 #[derive(Debug)]
 pub(crate) struct BufferedBytes {
     node: Rc<Node>,
-    held: BodyKind,
+    kind: BodyKind,
     bytes: u64,
 }
 
 impl BufferedBytes {
-    /// Room for nothing yet.
-    pub(crate) fn new(node: &Rc<Node>, held: BodyKind) -> Self {
-        Self { node: Rc::clone(node), held, bytes: 0 }
+    /// Starts with no bytes.
+    pub(crate) fn new(node: &Rc<Node>, kind: BodyKind) -> Self {
+        Self { node: Rc::clone(node), kind, bytes: 0 }
     }
 
-    /// Takes room for so many bytes more.
+    /// Accounts for further bytes.
     ///
     /// # Errors
-    /// There is not enough; what was taken before stays taken.
+    /// There is not enough memory. The bytes accounted before stay accounted.
     pub(crate) fn grow(&mut self, bytes: usize) -> Result<(), MemoryFull> {
         let bytes = bytes as u64;
-        self.node.state.borrow_mut().memory.reserve(bytes, self.held)?;
+        self.node.state.borrow_mut().memory.reserve(bytes, self.kind)?;
         self.bytes += bytes;
         Ok(())
     }
 
-    /// Reads a body to its end, as far as there is room for it.
+    /// Reads a body to its end, as far as there is memory for it.
     ///
     /// # Errors
-    /// The body failed, or there is no room.
+    /// The body failed, or there is not enough memory.
     pub(crate) async fn collect<B>(&mut self, mut body: B) -> Result<Bytes, CollectError<B::Error>>
     where
         B: Body<Data = Bytes> + Unpin,
     {
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let data = frame.map_err(CollectError::Body)?.into_data().unwrap_or_default();
-            let bytes = whole.len() + data.len();
+            let bytes = complete.len() + data.len();
             self.grow(data.len()).map_err(|full| CollectError::Full(full, bytes))?;
-            whole.extend_from_slice(&data);
+            complete.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(complete.freeze())
     }
 }
 
--- a/crates/forward/src/calls.rs
+++ b/crates/forward/src/calls.rs
@@ -10,15 +10,16 @@
 use crate::protocol::Call;
 
 /// Longest time for a small call to an engine: many round trips.
-pub(crate) const CALL: Duration = Duration::from_millis(200);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Gives something back at an engine, without waiting. If it fails, the engine's own time limit does it.
-pub(crate) fn tidy(node: &Rc<Node>, address: SocketAddr, call: Call) {
+/// Releases a resource at an engine, in the background. If the call fails, the engine's own time limit
+/// releases it.
+pub(crate) fn release_in_background(node: &Rc<Node>, address: SocketAddr, call: Call) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        let until = node.now() + CALL;
+        let until = node.now() + CALL_TIMEOUT;
         if let Err(failure) = node.call(address, call, until).await {
-            debug!(node.log, "give back"; "address" => %address, "failure" => failure.text());
+            debug!(node.log, "cannot release a resource at an endpoint"; "address" => %address, "failure" => failure.text());
         }
     });
 }
--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -1,19 +1,23 @@
-//! What the platform's store says: the configuration in force and the list of endpoints. Read only.
+//! Follows the platform's store: the active configuration and the list of endpoints. It never writes to the
+//! store.
 //!
-//! The store is read whole once and then watched. A watch waits at the store for a while and is given up shortly
-//! after, because a connection can go silent without being closed: callers would then be served by an old version
-//! for as long as nobody notices. How long it waits follows from the time that the deployment gives for that.
+//! The store is listed completely once and then watched. A watch waits at the store for a limited time and is
+//! abandoned shortly after, because a connection can become unresponsive without being closed; callers would
+//! then be served by an old version until the connection fails. The waiting time follows from the
+//! deployment's recovery bound.
 //!
-//! Calls to the store are counted and shared among all instances, and a change wakes every one of them. After a change
-//! an instance therefore waits a part of the time that it has to apply the next one, and then takes all that has
-//! gathered in one call. Where a failure domain has many instances, few of them watch and tell the others what they
-//! read ([`Telling`]); `teaselshunt_routing::UpdateSource` says who, and the head of its module why that is enough.
+//! Calls to the store are counted and shared among all instances, and a change wakes every watch. After a
+//! change an instance therefore waits for a fraction of the time that it has to apply the next one, and then
+//! reads all accumulated changes in one call. In a failure domain with many instances, only the store readers
+//! watch and send their peers what they read ([`StoreUpdate`]). `teaselshunt_routing::UpdateSource` decides
+//! which instances are readers, and its module explains why that is enough.
 //!
-//! A version replaces only a lower one. An endpoint that has left does not come back. What is known stays in use
-//! while the store is away.
+//! A configuration replaces only a lower version. An endpoint that was removed does not return. The known
+//! state stays in use while the store is unreachable.
 //!
-//! The store may come back from a copy that is some seconds old, in a new [`Era`]. Its revisions then stand for other changes
-//! than before, so that it is read whole again; what was seen meanwhile (versions, endpoints that leave) stays seen.
+//! The store may be restored from a backup that is some seconds old, in a new [`Era`]. Its revisions then
+//! stand for other changes than before, so that the store is listed completely again. What was observed
+//! meanwhile (versions, removals of endpoints) stays known.
 
 mod listing;
 mod snapshot_server;
@@ -36,68 +40,72 @@
 use teaselshunt_teams::Teams;
 use tokio::sync::{Notify, mpsc};
 
-use crate::connection_pool::Failure;
+use crate::connection_pool::ExchangeFailure;
 use crate::node::Node;
 use crate::orders;
 use crate::protocol::{Batch, Call, StoreChange};
-use listing::Reading;
-pub(crate) use snapshot_server::give_copies;
-use snapshots::Copied;
-pub(crate) use store_updates::Telling;
+use listing::ListProgress;
+pub(crate) use snapshot_server::serve_snapshots;
+use snapshots::SearchResult;
+pub(crate) use store_updates::StoreUpdate;
 
-/// How long a call may take beyond its wait: the store's slowest answers that are still of use.
-const SLACK: Duration = Duration::from_millis(900);
-/// Part of the time until bounds hold again after a disturbance, for which a watch waits; a connection that has gone
-/// silent is found within this and [`SLACK`], and leaves the time to read what was missed.
-const WAIT_PART: f64 = 0.55;
-/// Part of the shortest bound for which a watch waits whose answer others are told. With the pause after a change it stays
-/// under the time for which they believe the last telling, so that they do not ask while their reader is well.
-const READER_WAIT_PART: f64 = 0.25;
-/// Shortest time for which an instance that misses changes looks for a peer that has them.
-const GAP_SPREAD: Duration = Duration::from_millis(300);
-/// Part of the shortest bound that an instance waits after a change before it asks for the next.
-const COALESCE_PART: f64 = 0.3;
-/// Changes in one answer from which on the next is asked for at once.
-const BULK: usize = 200;
-/// Time after the start in which the instance that orders engines coalesces changes for [`FILLING_COALESCE`] only: endpoints
-/// register then, engines take seconds to change their stage, and traffic is about to begin. The others need no such
-/// haste: it cost each of them some ten calls to the store.
-const FILLING: Duration = Duration::from_secs(4);
-/// Pause between two looks whether it is over.
-const SETTLE_LOOK: Duration = Duration::from_millis(200);
-/// Half of what endpoints of one heartbeat interval are apart at most.
-const FILLING_COALESCE: Duration = Duration::from_millis(300);
-/// First and longest pause after a failure; the longest is well under the time in which versions must be in force.
-const BACKOFF: Duration = Duration::from_millis(50);
-const BACKOFF_MAX: Duration = Duration::from_millis(500);
-/// Time without an answer, at a failed call, after which entries of live endpoints may have lapsed: under the silence
-/// of an endpoint after which its entry is removed. It is over the time that a quiet watch waits, so that one failed
-/// call does not make a loss of it.
-const LOST: Duration = Duration::from_millis(2900);
-/// How long after the last failed call an entry that has gone may come back.
-const RETURN: Duration = Duration::from_millis(2300);
-/// How long after the store's return an entry that stands in its copy may outlive its endpoint: over the silence after which
-/// an entry is removed.
-const COPIED: Duration = Duration::from_secs(5);
-/// Part of the time in which a leaving endpoint must get nothing new, for which a lost entry is still in use.
-const DOUBT_PART: f64 = 0.8;
+/// Time that a call may take beyond its wait: the slowest responses of the store that are still useful.
+const CALL_SLACK: Duration = Duration::from_millis(900);
+/// Fraction of the recovery time, and of the shortest bound after it, for which a watch waits. An
+/// unresponsive connection is detected within this time and [`CALL_SLACK`]; the rest is for reading the
+/// missed changes.
+const WAIT_FRACTION: f64 = 0.55;
+/// Fraction of the shortest bound for which the watch of a store reader waits. With the pause after a change
+/// it stays under the time for which peers rely on the last store update, so that they do not ask the store
+/// while their reader is reachable.
+const READER_WAIT_FRACTION: f64 = 0.25;
+/// Shortest time for which an instance that misses changes searches for a peer that has them.
+const MIN_GAP_SEARCH: Duration = Duration::from_millis(300);
+/// Fraction of the shortest bound that an instance waits after a change before it asks for the next.
+const COALESCE_FRACTION: f64 = 0.3;
+/// Number of changes in one response from which on the next response is requested at once.
+const BULK_CHANGES: usize = 200;
+/// Time after the start in which the instance that orders engines coalesces changes for [`STARTUP_COALESCE`]
+/// only: endpoints register then, engines take seconds to change their stage, and traffic is about to begin.
+/// The other instances do not need the short pause, which costs about ten calls to the store for each.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
+/// Interval at which an instance polls whether the start of the system is over.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Half of the longest time over which the entries that endpoints write in one heartbeat interval are spread.
+const STARTUP_COALESCE: Duration = Duration::from_millis(300);
+/// First and longest pause after a failure; the longest is well under the time in which a configuration must
+/// be active.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Time without a response, at a failed call, after which entries of live endpoints may have expired: shorter
+/// than the time without a heartbeat after which the store removes an entry. It is longer than the wait of a
+/// watch without changes, so that one failed call does not count as a loss of the store.
+const STORE_LOST_AFTER: Duration = Duration::from_millis(2900);
+/// Time after the last failed call within which the entry of a live endpoint may return.
+const ENTRY_RETURN_TIME: Duration = Duration::from_millis(2300);
+/// Time after a restore for which an entry in the backup may outlive its endpoint: longer than the time
+/// without a heartbeat after which the store removes an entry.
+const BACKUP_ENTRY_LIFETIME: Duration = Duration::from_secs(5);
+/// Fraction of the time after which a leaving endpoint must get no new requests, for which an unconfirmed
+/// endpoint is still used.
+const UNCONFIRMED_FRACTION: f64 = 0.8;
 
 #[derive(Debug, thiserror::Error)]
 enum StoreError {
     #[error("{}", .0.text())]
-    Exchange(Failure),
-    #[error("status {0}")]
+    Exchange(ExchangeFailure),
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    #[error("unreadable: {0}")]
-    Unreadable(String),
-    #[error("too many pages")]
-    Pages,
-    #[error("made before the store went back")]
+    #[error("invalid response: {0}")]
+    InvalidResponse(String),
+    #[error("the list has too many pages")]
+    TooManyPages,
+    #[error("the response predates a restore of the store")]
     Outdated,
 }
 
-/// How a call for news ended, for metrics.
-fn outcome(status: Result<StatusCode, &Failure>) -> &'static str {
+/// Outcome of a call to the store or to a snapshot source, for metrics.
+fn call_outcome(status: Result<StatusCode, &ExchangeFailure>) -> &'static str {
     match status {
         Ok(status) if status.is_success() => "ok",
         Ok(_) => "refused",
@@ -105,67 +113,68 @@
     }
 }
 
-/// Follows the store for as long as the process runs.
+/// Follows the store until the process ends.
 #[derive(Debug)]
 pub(crate) struct Catalog {
     node: Rc<Node>,
-    /// Revision up to which changes are known; `None` before the store was read whole.
+    /// Revision up to which changes are known; `None` before the store was listed completely.
     revision: Cell<Option<u64>>,
-    /// Revision that was known when the store dropped the history behind it.
-    lost: Cell<Option<u64>>,
-    /// Peers that have the whole list.
-    holders: RefCell<SnapshotSources<SocketAddr>>,
-    /// Entries that changed lately.
+    /// The known revision when the store had dropped the history after it.
+    lost_revision: Cell<Option<u64>>,
+    /// Peers that can serve a snapshot of the list.
+    snapshot_sources: RefCell<SnapshotSources<SocketAddr>>,
+    /// Recently changed entries.
     changes: RefCell<RecentChanges>,
-    /// Whether what peers told did not add up to their list, so that only a whole copy is of use.
+    /// Whether the changes of a partial snapshot did not match its checksum, so that only a complete snapshot
+    /// is useful.
     diverged: Cell<bool>,
-    /// The era to which `revision` and `reading` belong.
+    /// The era of `revision` and `list_progress`.
     era: Cell<Era>,
-    reading: RefCell<Reading>,
+    list_progress: RefCell<ListProgress>,
     started: Instant,
     /// Whether this process orders engines.
-    orders: bool,
-    /// When the store last answered, this instance or one that told it.
-    heard: Cell<Instant>,
-    /// Until when an entry that has gone may be one that lapsed while the store was lost.
-    lapses: Cell<Option<Instant>>,
-    /// Since when an entry that is found missing now may have been so.
-    absence: Cell<Instant>,
+    gives_orders: bool,
+    /// When the store last responded to this instance or to a peer that sent an update.
+    last_response: Cell<Instant>,
+    /// Until when a removed entry may be one that expired while the store was unreachable.
+    expiry_window_end: Cell<Option<Instant>>,
+    /// Earliest time at which an entry that is found missing now may have been removed.
+    missing_since: Cell<Instant>,
     source: Cell<UpdateSource>,
     freshness: Cell<Freshness>,
-    pulse: Cell<StallDetector>,
-    /// Wakes an instance that goes by its peers: its source has changed, or it must ask the store.
-    woken: Notify,
-    ask: Cell<ReadNeed>,
-    /// To whoever sends tellings to peers.
-    tellings: mpsc::Sender<Telling>,
+    stall_detector: Cell<StallDetector>,
+    /// Wakes an instance that follows its peers: its source has changed, or it must ask the store.
+    wakeup: Notify,
+    read_need: Cell<ReadNeed>,
+    /// To the gossip task, which sends store updates to peers.
+    updates: mpsc::Sender<StoreUpdate>,
 }
 
 impl Catalog {
-    /// `tellings` takes what is to be told to peers of the same failure domain.
-    pub(crate) fn new(node: &Rc<Node>, tellings: mpsc::Sender<Telling>) -> Self {
+    /// `updates` receives the store updates for peers of the same failure domain.
+    pub(crate) fn new(node: &Rc<Node>, updates: mpsc::Sender<StoreUpdate>) -> Self {
         let started = node.now();
         let settings = &node.settings;
         Self {
             node: Rc::clone(node),
             revision: Cell::new(None),
-            lost: Cell::new(None),
-            holders: RefCell::default(),
+            lost_revision: Cell::new(None),
+            snapshot_sources: RefCell::default(),
             changes: RefCell::default(),
             diverged: Cell::new(false),
             era: Cell::default(),
-            reading: RefCell::default(),
+            list_progress: RefCell::default(),
             started,
-            orders: orders::is_holder(node),
-            heard: Cell::new(started),
-            lapses: Cell::new(None),
-            absence: Cell::new(started),
+            gives_orders: orders::gives_orders(node),
+            last_response: Cell::new(started),
+            expiry_window_end: Cell::new(None),
+            missing_since: Cell::new(started),
             source: Cell::default(),
             freshness: Cell::new(Freshness::new(settings.apply_bound.min(settings.drain_bound))),
-            pulse: Cell::new(StallDetector::new(node.clock.uptime())),
-            woken: Notify::new(),
-            ask: Cell::default(),
-            tellings,
+            stall_detector: Cell::new(StallDetector::new(node.clock.uptime())),
+            wakeup: Notify::new(),
+            read_need: Cell::default(),
+            updates,
         }
     }
 
@@ -173,16 +182,16 @@
         let mut failures = 0_u32;
         loop {
             if failures > 0 {
-                self.expect_return();
+                self.record_failure();
             }
             let result = match (self.revision.get(), self.source.get()) {
-                (None, _) => self.read_all().await,
-                (Some(_), _) if self.settles() => {
-                    tokio::time::sleep(SETTLE_LOOK).await;
+                (None, _) => self.list_all().await,
+                (Some(_), _) if self.is_starting() => {
+                    tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
                     continue;
                 }
-                (Some(_), UpdateSource::Peers) if self.believes() => {
-                    self.wait_for_word().await;
+                (Some(_), UpdateSource::Peers) if self.peers_suffice() => {
+                    self.wait_for_update().await;
                     continue;
                 }
                 (Some(revision), _) => self.watch(revision, failures > 0).await,
@@ -206,45 +215,47 @@
         }
     }
 
-    /// Whether the whole system has just started, and it is not known here yet who reads the store for this domain.
+    /// Whether the whole system has just started, and this instance does not know yet which instances are the
+    /// store readers of its domain.
     ///
-    /// Endpoints register then, and each instance that took itself for a reader would fetch all of thousands of entries, as
-    /// would all others. Callers come when endpoints are there.
-    fn settles(&self) -> bool {
+    /// Endpoints register at that time. Each instance that took itself for a reader would fetch all of
+    /// thousands of entries, as would all others. Callers arrive only when endpoints are there.
+    fn is_starting(&self) -> bool {
         let settings = &self.node.settings;
-        let shares = settings.first_start && settings.gossip_port.is_some() && !self.orders;
-        let passed = self.node.now().duration_since(self.started);
-        shares && !self.source.get().is_settled(passed, self.node.peers.get())
+        let uses_peers = settings.first_start && settings.gossip_port.is_some() && !self.gives_orders;
+        let elapsed = self.node.now().duration_since(self.started);
+        uses_peers && !self.source.get().is_settled(elapsed, self.node.peer_count.get())
     }
 
-    fn confirmed(&self, at: Duration) {
+    fn confirm(&self, at: Duration) {
         let mut freshness = self.freshness.get();
         freshness.confirm(at);
         self.freshness.set(freshness);
     }
 
-    /// A call has failed. If the store has been silent for long, entries that are gone at its return may have lapsed.
-    fn expect_return(&self) {
+    /// Records a failed call. If the store has not responded for long, entries that are missing at its return
+    /// may have expired.
+    fn record_failure(&self) {
         let now = self.node.now();
-        if now.duration_since(self.heard.get()) > LOST {
-            self.may_lapse(now + RETURN);
+        if now.duration_since(self.last_response.get()) > STORE_LOST_AFTER {
+            self.extend_expiry_window(now + ENTRY_RETURN_TIME);
         }
     }
 
-    /// Entries that go until then may be ones that lapsed.
-    fn may_lapse(&self, until: Instant) {
-        self.lapses.set(self.lapses.get().max(Some(until)));
+    /// Treats removals before `until` as possible expiries.
+    fn extend_expiry_window(&self, until: Instant) {
+        self.expiry_window_end.set(self.expiry_window_end.get().max(Some(until)));
     }
 
-    /// News is about to be taken over.
-    fn note_absence(&self) {
+    /// Records, before changes are applied, since when a missing entry may have been removed.
+    fn record_missing_since(&self) {
         let age = self.freshness.get().missing_for(self.node.clock.uptime());
         let now = self.node.now();
-        self.absence.set(now.checked_sub(age).unwrap_or(now));
+        self.missing_since.set(now.checked_sub(age).unwrap_or(now));
     }
 
     fn backoff(&self, failures: u32) -> Duration {
-        let longest = (BACKOFF * 2_u32.pow(failures.min(5))).min(BACKOFF_MAX);
+        let longest = (MIN_BACKOFF * 2_u32.pow(failures.min(5))).min(MAX_BACKOFF);
         longest.mul_f64(self.node.state.borrow_mut().rng.random_range(0.5..1.0))
     }
 
@@ -252,138 +263,138 @@
         &self,
         name: &str,
         call: Call,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, bytes::Bytes), StoreError> {
-        let until = self.node.now() + time;
-        let result = self.node.call_in_full(self.node.settings.store_address, call, until).await;
-        let outcome = outcome(result.as_ref().map(|(head, _)| head.status));
-        self.node.metrics.store.with_label_values(&[name, outcome]).inc();
+        let until = self.node.now() + timeout;
+        let result = self.node.call_with_head(self.node.settings.store_address, call, until).await;
+        let outcome = call_outcome(result.as_ref().map(|(head, _)| head.status));
+        self.node.metrics.store_calls.with_label_values(&[name, outcome]).inc();
         let (head, body) = result.map_err(StoreError::Exchange)?;
         let era = Era::new(self.node.protocol.read_era(&head.headers));
         match self.era.get().compare(era) {
             EraOrder::Same => self.era.set(self.era.get().later(era)),
-            EraOrder::Newer => self.renew(era),
+            EraOrder::Newer => self.handle_restore(era),
             EraOrder::Older => return Err(StoreError::Outdated),
         }
         Ok((head.status, body))
     }
 
-    /// The store has come back from a copy. Nothing that is known of revisions holds, and entries of endpoints that
-    /// registered since the copy was made are missing until these write them again.
-    fn renew(&self, era: Era) {
+    /// Handles a restore of the store. Known revisions are void, and entries of endpoints that registered
+    /// since the backup are missing until these endpoints write them again.
+    fn handle_restore(&self, era: Era) {
         warn!(self.node.log, "store went back"; "era" => era.number(), "before" => self.era.get().number(),
             "revision" => self.revision.get());
         self.era.set(era);
         self.revision.set(None);
-        self.lost.set(None);
+        self.lost_revision.set(None);
         *self.changes.borrow_mut() = RecentChanges::default();
-        *self.reading.borrow_mut() = Reading::default();
+        *self.list_progress.borrow_mut() = ListProgress::default();
         let now = self.node.now();
-        self.may_lapse(now + RETURN);
-        self.node.state.borrow_mut().endpoints.note_restore(now + COPIED);
+        self.extend_expiry_window(now + ENTRY_RETURN_TIME);
+        self.node.state.borrow_mut().endpoints.note_restore(now + BACKUP_ENTRY_LIFETIME);
     }
 
-    /// Waits for changes. While the store is lost it does not wait: a long call that is made just before the store's
-    /// return is lost with it, and nothing would be heard until it is given up. Neither does an instance that goes by its
-    /// peers otherwise: it asks because something is missing.
-    async fn watch(&self, revision: u64, lost: bool) -> Result<(), StoreError> {
+    /// Waits for changes. While the store is unreachable the call does not wait: a long call made just before
+    /// the store's return is lost, and nothing would be received until it is abandoned. An instance that
+    /// follows its peers does not wait either: it asks because something is missing.
+    async fn watch(&self, revision: u64, store_lost: bool) -> Result<(), StoreError> {
         let source = self.source.get();
-        let ask = self.ask.take();
-        if ask.is_filled(revision) {
+        let read_need = self.read_need.take();
+        if read_need.is_filled(revision) {
             return Ok(());
         }
-        let gap = matches!(ask, ReadNeed::Gap(_));
-        if gap && self.copy(Some(revision), true).await == Copied::Whole {
+        let gap = matches!(read_need, ReadNeed::Gap(_));
+        if gap && self.fetch_snapshot(Some(revision), true).await == SearchResult::Fetched {
             return Ok(());
         }
-        let wait = if lost { Duration::ZERO } else { self.usual_wait(source) };
-        let asked = self.node.clock.uptime();
+        let wait = if store_lost { Duration::ZERO } else { self.watch_wait(source) };
+        let called_at = self.node.clock.uptime();
         let call = self.node.protocol.watch(revision, wait);
         let era = self.era.get();
-        let (status, body) = self.call("watch", call, wait + SLACK).await?;
+        let (status, body) = self.call("watch", call, wait + CALL_SLACK).await?;
         if era.compare(self.era.get()) == EraOrder::Newer {
-            // The revision may exist again, with other content: changes after it are not what is missing here.
+            // The revision may exist again with other content: the changes after it are not the missing ones.
             return Ok(());
         }
         match status {
             StatusCode::OK => {}
             StatusCode::GONE => {
-                info!(self.node.log, "history lost"; "revision" => revision);
+                info!(self.node.log, "the store dropped the changes after the known revision"; "revision" => revision);
                 self.revision.set(None);
-                self.lost.set(Some(revision));
+                self.lost_revision.set(Some(revision));
                 return Ok(());
             }
             status => return Err(StoreError::Status(status)),
         }
-        let batch = self.node.protocol.read_watch(&body).map_err(StoreError::Unreadable)?;
-        self.note_absence();
-        self.answered(asked);
-        // Peers may have told more meanwhile.
+        let batch = self.node.protocol.read_watch(&body).map_err(StoreError::InvalidResponse)?;
+        self.record_missing_since();
+        self.record_response(called_at);
+        // A peer may have sent newer changes meanwhile.
         let known = self.revision.get().unwrap_or(revision);
         let reached = batch.revision.max(revision);
         if reached > known || known == revision {
             self.revision.set(Some(reached));
-            // Where hundreds of changes come at once the store has cut its answer off, and more wait already.
-            let coalesces = (1..BULK).contains(&batch.changes.len());
-            // Of a gap the others hear from whoever told of what lies behind it.
+            // The store truncates a response at some hundred changes, and more are available at once.
+            let coalesces = (1..BULK_CHANGES).contains(&batch.changes.len());
+            // Peers learn of the changes in a gap from the peer that sent the update after the gap.
             if source != UpdateSource::Alone && !gap {
-                self.tell((revision, reached), &batch.changes);
+                self.publish((revision, reached), &batch.changes);
             }
             self.apply(batch);
             if coalesces && source != UpdateSource::Peers {
-                tokio::time::sleep(self.coalescing()).await;
+                tokio::time::sleep(self.coalesce_pause()).await;
             }
         }
         Ok(())
     }
 
-    /// How long a watch waits while the store is well.
-    fn usual_wait(&self, source: UpdateSource) -> Duration {
+    /// How long a watch waits while the store is reachable.
+    fn watch_wait(&self, source: UpdateSource) -> Duration {
         let settings = &self.node.settings;
         let shortest = settings.apply_bound.min(settings.drain_bound);
         match source {
-            UpdateSource::Alone => (settings.recovery_bound + shortest).mul_f64(WAIT_PART),
-            UpdateSource::Reader => shortest.mul_f64(READER_WAIT_PART),
+            UpdateSource::Alone => (settings.recovery_bound + shortest).mul_f64(WAIT_FRACTION),
+            UpdateSource::Reader => shortest.mul_f64(READER_WAIT_FRACTION),
             UpdateSource::Peers => Duration::ZERO,
         }
     }
 
-    /// How long to wait after a change for others to gather.
-    fn coalescing(&self) -> Duration {
+    /// How long to wait after a change for further ones to accumulate.
+    fn coalesce_pause(&self) -> Duration {
         let settings = &self.node.settings;
-        let pause = settings.apply_bound.min(settings.drain_bound).mul_f64(COALESCE_PART);
-        let filling = self.orders && self.node.now().duration_since(self.started) < FILLING;
-        if filling { FILLING_COALESCE.min(pause) } else { pause }
+        let pause = settings.apply_bound.min(settings.drain_bound).mul_f64(COALESCE_FRACTION);
+        let starting = self.gives_orders && self.node.now().duration_since(self.started) < STARTUP_TIME;
+        if starting { STARTUP_COALESCE.min(pause) } else { pause }
     }
 
-    /// The store has answered a call that was made at `asked`.
-    fn answered(&self, asked: Duration) {
+    /// Records that the store has responded to a call that was made at `called_at`.
+    fn record_response(&self, called_at: Duration) {
         let now = self.node.now();
-        self.heard.set(now);
-        self.node.state.borrow_mut().listed = Some(now);
-        // The answer may have lain unread while this process stood still.
+        self.last_response.set(now);
+        self.node.state.borrow_mut().list_confirmed = Some(now);
+        // The response may have been unread while this process was frozen.
         let uptime = self.node.clock.uptime();
-        let stalled = self.pulse.get().stalled_since(asked, uptime);
-        self.confirmed(if stalled { asked } else { uptime });
+        let stalled = self.stall_detector.get().stalled_since(called_at, uptime);
+        self.confirm(if stalled { called_at } else { uptime });
     }
 
     fn apply(&self, batch: Batch) {
-        for news in batch.changes {
-            self.apply_news(news, batch.revision);
+        for change in batch.changes {
+            self.apply_change(change, batch.revision);
         }
         self.count_endpoints();
     }
 
-    fn apply_news(&self, news: StoreChange, revision: u64) {
-        match news {
+    fn apply_change(&self, change: StoreChange, revision: u64) {
+        match change {
             StoreChange::Routes(routes) => self.apply_routes(routes),
             StoreChange::Endpoint(endpoint) => {
                 self.apply_endpoint(endpoint, revision);
             }
-            StoreChange::Removed(id) => self.lose(&id, revision),
+            StoreChange::Removed(id) => self.remove_endpoint(&id, revision),
             StoreChange::Invalid { key, endpoint, cause } => {
-                let withdraw = |id: &Arc<str>| self.node.state.borrow_mut().endpoints.invalidate(id);
-                let withdrawn = endpoint.as_ref().is_some_and(withdraw);
+                let invalidate = |id: &Arc<str>| self.node.state.borrow_mut().endpoints.invalidate(id);
+                let withdrawn = endpoint.as_ref().is_some_and(invalidate);
                 if let Some(id) = endpoint.filter(|_| withdrawn) {
                     self.changes.borrow_mut().record(revision, id);
                 }
@@ -397,31 +408,31 @@
         self.node.metrics.endpoints.set(count as i64);
     }
 
-    /// Takes an endpoint's entry over. Says whether it is news.
+    /// Applies an endpoint's entry. Returns whether the entry is new or changed.
     fn apply_endpoint(&self, endpoint: Endpoint, revision: u64) -> bool {
         let (id, state) = (Arc::clone(&endpoint.id), endpoint.state);
         let (service, address) = (Arc::clone(&endpoint.service), endpoint.address);
-        let part = endpoint.stage.map(Stage::text);
-        let listing = self.node.state.borrow_mut().endpoints.upsert(endpoint);
-        match listing {
+        let stage_name = endpoint.stage.map(Stage::text);
+        let outcome = self.node.state.borrow_mut().endpoints.upsert(endpoint);
+        match outcome {
             UpsertOutcome::Started | UpsertOutcome::Changed => {
                 info!(self.node.log, "endpoint"; "endpoint" => &*id, "service" => &*service, "address" => %address,
-                    "state" => ?state, "stage" => part, "revision" => revision);
+                    "state" => ?state, "stage" => stage_name, "revision" => revision);
             }
             UpsertOutcome::Foreign => {
                 warn!(self.node.log, "endpoint"; "endpoint" => &*id, "state" => "withdrawn",
-                    "cause" => "an entry without a time of birth", "revision" => revision);
+                    "cause" => "the entry has no birth time", "revision" => revision);
             }
             UpsertOutcome::Outdated => {
                 info!(self.node.log, "endpoint"; "endpoint" => &*id, "state" => "outdated", "revision" => revision);
             }
             UpsertOutcome::Unchanged => {}
         }
-        let news = matches!(listing, UpsertOutcome::Started | UpsertOutcome::Changed);
-        if listing != UpsertOutcome::Unchanged {
+        let is_new = matches!(outcome, UpsertOutcome::Started | UpsertOutcome::Changed);
+        if outcome != UpsertOutcome::Unchanged {
             self.changes.borrow_mut().record(revision, id);
         }
-        news
+        is_new
     }
 
     fn apply_routes(&self, routes: Arc<RouteSet>) {
@@ -430,29 +441,32 @@
         if routes.version <= current {
             return;
         }
-        self.node.metrics.version.set(routes.version as i64);
+        self.node.metrics.active_version.set(routes.version as i64);
         info!(self.node.log, "configuration"; "version" => routes.version, "before" => current);
-        state.allowances.retain(|name| routes.has_route(name));
+        state.retry_detector.retain(|name| routes.has_route(name));
         let teams = routes.teams.iter().flat_map(Teams::iter);
         let limits = teams.filter_map(|team| Some((team.tag(), team.limit?)));
         state.quotas.set_limits(self.node.clock.uptime(), limits);
         state.routes = Some(routes);
     }
 
-    /// The entry of an endpoint has gone. Shortly after the store's return that may be a lapse of a live one.
-    fn lose(&self, id: &Arc<str>, revision: u64) {
+    /// Handles the removal of an endpoint's entry. Shortly after the store's return the entry may have
+    /// expired although the endpoint is live.
+    fn remove_endpoint(&self, id: &Arc<str>, revision: u64) {
         self.changes.borrow_mut().record(revision, Arc::clone(id));
         let now = self.node.now();
-        let lapsed = self.lapses.get().is_some_and(|until| now < until);
+        let may_have_expired = self.expiry_window_end.get().is_some_and(|until| now < until);
         let mut state = self.node.state.borrow_mut();
-        if lapsed {
-            // Not from now on: the store may have said so for as long as nothing else was heard of it, and an endpoint that
-            // has left gets nothing new for longer than the deployment allows.
-            let until = self.absence.get() + self.node.settings.drain_bound.mul_f64(DOUBT_PART);
+        if may_have_expired {
+            // The time does not start now: the entry may have been missing since the store's last
+            // confirmation, and an endpoint that has left would get new requests for longer than the
+            // deployment allows.
+            let until =
+                self.missing_since.get() + self.node.settings.drain_bound.mul_f64(UNCONFIRMED_FRACTION);
             state.endpoints.mark_unconfirmed(id, until);
         } else {
             state.endpoints.remove(id);
         }
-        info!(self.node.log, "endpoint"; "endpoint" => &**id, "state" => if lapsed { "doubted" } else { "gone" });
+        info!(self.node.log, "endpoint"; "endpoint" => &**id, "state" => if may_have_expired { "doubted" } else { "gone" });
     }
 }
--- a/crates/forward/src/catalog/snapshot_server.rs
+++ b/crates/forward/src/catalog/snapshot_server.rs
@@ -1,4 +1,4 @@
-//! The listener at which peers of the failure domain ask for copies of the list.
+//! Listener that serves snapshots of the list to peers of the failure domain.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -18,90 +18,95 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::Catalog;
-use super::snapshots::{COPY, PATH};
+use super::snapshots::{SNAPSHOT_PATH, TRANSFER_TIMEOUT};
 use crate::accept::accept;
 use crate::node::Node;
 
-/// Copies that are given at a time; one takes a part of a second on a slow link, and whoever has one gives it on.
-const GIVEN: u32 = 3;
-/// Idle time of a peer's connection.
-const IDLE: Duration = Duration::from_secs(4);
+/// Snapshots served at a time. One takes a fraction of a second on a slow link, and each recipient becomes a
+/// source.
+const MAX_TRANSFERS: u32 = 3;
+/// Idle timeout of a peer's connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Gives copies to peers for as long as the process runs.
-pub(crate) async fn give_copies(catalog: Rc<Catalog>, node: Rc<Node>, port: u16) {
+/// Serves snapshots to peers until the process ends.
+pub(crate) async fn serve_snapshots(catalog: Rc<Catalog>, node: Rc<Node>, port: u16) {
     let own = SocketAddr::new(node.settings.callers_address.ip(), port);
     let listener = match TcpListener::bind(own).await {
         Ok(listener) => listener,
         Err(error) => {
-            // Peers read the store, or copy from others.
-            warn!(node.log, "no copies for peers"; "address" => %own, "error" => %error);
+            // Peers list the store, or fetch snapshots from others.
+            warn!(node.log, "cannot listen for snapshot requests"; "address" => %own, "error" => %error);
             return;
         }
     };
-    let given = Rc::new(Cell::new(0));
+    let transfers = Rc::new(Cell::new(0));
     loop {
         let stream = accept(&node, &listener).await;
-        let (catalog, given) = (Rc::clone(&catalog), Rc::clone(&given));
-        tokio::task::spawn_local(connection(catalog, Rc::clone(&node), given, stream));
+        let (catalog, transfers) = (Rc::clone(&catalog), Rc::clone(&transfers));
+        tokio::task::spawn_local(connection(catalog, Rc::clone(&node), transfers, stream));
     }
 }
 
-/// A copy on its way; dropping it makes room for another.
-struct Given(Rc<Cell<u32>>);
+/// A snapshot that is being sent; dropping it allows another one.
+struct Transfer(Rc<Cell<u32>>);
 
-impl Given {
-    fn begin(given: &Rc<Cell<u32>>) -> Option<Self> {
-        if given.get() >= GIVEN {
+impl Transfer {
+    fn begin(transfers: &Rc<Cell<u32>>) -> Option<Self> {
+        if transfers.get() >= MAX_TRANSFERS {
             return None;
         }
-        given.set(given.get() + 1);
-        Some(Self(Rc::clone(given)))
+        transfers.set(transfers.get() + 1);
+        Some(Self(Rc::clone(transfers)))
     }
 }
 
-impl Drop for Given {
+impl Drop for Transfer {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-async fn connection(catalog: Rc<Catalog>, node: Rc<Node>, given: Rc<Cell<u32>>, stream: TcpStream) {
-    // Held until the connection has no more to write.
-    let on_way = Rc::new(Cell::new(None));
+async fn connection(catalog: Rc<Catalog>, node: Rc<Node>, transfers: Rc<Cell<u32>>, stream: TcpStream) {
+    // Held until the connection has written the complete snapshot.
+    let current_transfer = Rc::new(Cell::new(None));
     let service = service_fn(|request: Request<Incoming>| {
-        let answer = answer(&catalog, &node, &request, &given, &on_way);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&catalog, &node, &request, &transfers, &current_transfer);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(IDLE_TIMEOUT)
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), service);
-    let served = tokio::time::timeout(COPY * 2, connection).await;
+    let served = tokio::time::timeout(TRANSFER_TIMEOUT * 2, connection).await;
     if !matches!(served, Ok(Ok(()))) {
-        debug!(node.log, "a copy was not taken");
+        debug!(node.log, "snapshot transfer failed");
     }
 }
 
-fn answer(
+fn respond(
     catalog: &Catalog,
     node: &Node,
     request: &Request<Incoming>,
-    given: &Rc<Cell<u32>>,
-    on_way: &Cell<Option<Given>>,
+    transfers: &Rc<Cell<u32>>,
+    current_transfer: &Cell<Option<Transfer>>,
 ) -> Response<Full<Bytes>> {
-    let asked = request.uri().path().strip_prefix(PATH).and_then(|rest| rest.split_once('/'));
-    let Some((domain, since)) = asked else { return empty(StatusCode::NOT_FOUND) };
+    let parameters = request.uri().path().strip_prefix(SNAPSHOT_PATH).and_then(|rest| rest.split_once('/'));
+    let Some((domain, since)) = parameters else { return empty_response(StatusCode::NOT_FOUND) };
     if domain.parse() != Ok(tag(&node.settings.domain)) {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
-    let Some(room) = Given::begin(given) else { return empty(StatusCode::TOO_MANY_REQUESTS) };
-    let Some(copy) = catalog.give(since.parse().ok()) else { return empty(StatusCode::SERVICE_UNAVAILABLE) };
-    on_way.set(Some(room));
-    Response::new(Full::new(Bytes::from(copy)))
+    let Some(transfer) = Transfer::begin(transfers) else {
+        return empty_response(StatusCode::TOO_MANY_REQUESTS);
+    };
+    let Some(snapshot) = catalog.encode_snapshot(since.parse().ok()) else {
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    };
+    current_transfer.set(Some(transfer));
+    Response::new(Full::new(Bytes::from(snapshot)))
 }
 
-fn empty(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/forward/src/catalog/snapshots.rs
+++ b/crates/forward/src/catalog/snapshots.rs
@@ -1,14 +1,17 @@
-//! Copies of the whole list that instances of a failure domain give one another;
-//! [`teaselshunt_routing::SnapshotSources`] says who asks whom, and why.
+//! Snapshots of the complete list that instances of a failure domain serve to each other.
+//! [`teaselshunt_routing::SnapshotSources`] decides which instance asks which, and explains why.
 //!
-//! An asker that knows the list as of some revision is told what changed since, where that is remembered, with a checksum of
-//! the whole. If its own list then has another one, it asks for the whole list.
+//! An asker that knows the list as of some revision gets the changes since then, if the source still
+//! remembers them, with a checksum of the complete list. If the checksum of its own list then differs, it
+//! asks for the complete list.
 //!
-//! A copy bears the era and revision of its list and the age of what the store last confirmed of it. It names only endpoints that
-//! the list shows plainly: while entries that may have lapsed, or stand in a copy of the store, are still in doubt here, none
-//! is given, since whoever takes it has nothing to tell them by.
+//! A snapshot carries the era and revision of its list and the age of the store's last confirmation. It
+//! contains only endpoints that the list shows without doubt. While entries are unconfirmed here, because
+//! they may have expired or stand in a backup of the store, no snapshot is served: the recipient could not
+//! tell such entries from the others.
 //!
-//! A copy is believed like a telling: on the word of a peer of the same failure domain, which is not authenticated.
+//! A snapshot is trusted like a store update: it comes from a peer of the same failure domain, which is not
+//! authenticated.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,52 +27,53 @@
     Endpoint, EndpointState, Era, EraOrder, RouteSet, SnapshotSearch, SnapshotStep, Stage, UpsertOutcome, tag,
 };
 
-use super::store_updates::{millis, told};
-use super::{Catalog, GAP_SPREAD, outcome};
-use crate::connection_pool::Failure;
+use super::store_updates::{from_millis, to_millis};
+use super::{Catalog, MIN_GAP_SEARCH, call_outcome};
+use crate::connection_pool::ExchangeFailure;
 use crate::protocol::Call;
 
-/// Longest time for a copy to arrive.
-pub(super) const COPY: Duration = Duration::from_millis(2500);
-/// Pause between two looks for a holder.
-const LOOK: Duration = Duration::from_millis(60);
-/// Part by which instances look longer than the shortest time, at random, so that they do not turn to the store together.
-const SPREAD: f64 = 0.3;
+/// Longest time to receive a snapshot.
+pub(super) const TRANSFER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Interval at which an instance polls for a snapshot source.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Largest random fraction by which instances search longer than the shortest time, so that they do not turn
+/// to the store together.
+const SEARCH_SPREAD: f64 = 0.3;
 
-/// A list as it is told to a peer; endpoints follow in groups.
+/// A list as it is sent to a peer; endpoints are grouped.
 #[derive(Debug, Serialize, Deserialize)]
-struct ListCopy {
+struct Snapshot {
     /// [`FORMAT`].
     format: u8,
     /// Era of the store.
     era: Option<u64>,
-    /// Revision that the list shows.
+    /// Revision of the list.
     revision: u64,
-    /// How long before the answer the store confirmed it, in milliseconds.
+    /// Time between the store's last confirmation of the list and this response, in milliseconds.
     age: u32,
     routes: Option<Arc<RouteSet>>,
-    /// Revision after which `groups` and `gone` tell what changed; `None` if `groups` is the whole list.
+    /// Revision after which `groups` and `gone` hold the changes; `None` if `groups` is the complete list.
     since: Option<u64>,
-    groups: Vec<Group>,
-    /// Ids that are not in the list any more.
+    groups: Vec<EndpointGroup>,
+    /// Ids that were removed from the list.
     gone: Vec<Arc<str>>,
     /// [`Endpoints::checksum`](teaselshunt_routing::Endpoints::checksum) of the list.
     checksum: u64,
 }
 
-/// Layout of a copy; another one is passed over.
+/// Version of the snapshot's layout; other versions are ignored.
 const FORMAT: u8 = 1;
 
-/// Endpoints that share the longer words of their entries.
+/// Endpoints with the same service and domain; these strings are long and are sent once for the group.
 #[derive(Debug, Serialize, Deserialize)]
-struct Group {
+struct EndpointGroup {
     service: Arc<str>,
     domain: Arc<str>,
-    endpoints: Vec<Member>,
+    endpoints: Vec<GroupMember>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Member {
+struct GroupMember {
     id: Arc<str>,
     born: Option<SystemTime>,
     address: SocketAddr,
@@ -77,12 +81,12 @@
     stage: Option<Stage>,
 }
 
-impl Group {
+impl EndpointGroup {
     fn all(endpoints: Vec<Endpoint>) -> Vec<Self> {
         let mut groups = Vec::<Self>::new();
         for endpoint in endpoints {
             let Endpoint { id, born, service, address, domain, state, stage } = endpoint;
-            let member = Member { id, born, address, state, stage };
+            let member = GroupMember { id, born, address, state, stage };
             match groups.iter_mut().find(|group| group.service == service && group.domain == domain) {
                 Some(group) => group.endpoints.push(member),
                 None => groups.push(Self { service, domain, endpoints: vec![member] }),
@@ -105,66 +109,71 @@
     }
 }
 
-/// Why a peer gave no copy.
+/// Why no snapshot was received from a peer.
 #[derive(Debug, thiserror::Error)]
-enum CopyError {
+enum SnapshotError {
     #[error("{}", .0.text())]
-    Exchange(Failure),
-    #[error("status {0}")]
+    Exchange(ExchangeFailure),
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    #[error("unreadable: {0}")]
-    Unreadable(#[from] postcard::Error),
-    #[error("of no use: revision {0}")]
+    #[error("invalid snapshot: {0}")]
+    Invalid(#[from] postcard::Error),
+    #[error("outdated snapshot of revision {0}")]
     Outdated(u64),
-    #[error("the changes do not add up to the list")]
+    #[error("the list does not match the checksum after the changes")]
     Diverged,
 }
 
-/// How a look for a copy ended.
+/// Result of a search for a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Copied {
+pub(super) enum SearchResult {
     /// The list is known.
-    Whole,
-    /// The store is to be read.
-    Nowhere,
+    Fetched,
+    /// The store must be listed.
+    NotFound,
 }
 
-/// Where copies are asked for; tag of the failure domain and revision that is known, or [`WHOLE`], follow.
-pub(super) const PATH: &str = "/list/";
-/// Asks for the whole list.
-const WHOLE: &str = "-";
+/// Path of snapshots; the tag of the failure domain and the known revision, or [`COMPLETE_LIST`], follow.
+pub(super) const SNAPSHOT_PATH: &str = "/list/";
+/// Requests the complete list.
+const COMPLETE_LIST: &str = "-";
 
 impl Catalog {
-    /// Era and revision of the list that this instance can give a copy of.
-    pub(crate) fn holds(&self) -> (Option<u64>, Option<u64>) {
-        let plain = self.node.state.borrow().endpoints.all_confirmed(self.node.now());
-        (self.era.get().number(), self.revision.get().filter(|_| plain))
+    /// Era and revision of the list that this instance can serve a snapshot of.
+    pub(crate) fn snapshot_revision(&self) -> (Option<u64>, Option<u64>) {
+        let confirmed = self.node.state.borrow().endpoints.all_confirmed(self.node.now());
+        (self.era.get().number(), self.revision.get().filter(|_| confirmed))
     }
 
-    /// A peer of the same failure domain says up to which revision it has the list.
-    pub(crate) fn holder(&self, peer: SocketAddr, (era, revision): (Option<u64>, Option<u64>)) {
-        self.holders.borrow_mut().observe(peer, Era::new(era), revision);
+    /// Records the revision up to which a peer of the same failure domain has the list.
+    pub(crate) fn observe_snapshot_source(
+        &self,
+        peer: SocketAddr,
+        (era, revision): (Option<u64>, Option<u64>),
+    ) {
+        self.snapshot_sources.borrow_mut().observe(peer, Era::new(era), revision);
     }
 
-    /// Whether some peer is known to have the list.
-    pub(super) fn has_holders(&self) -> bool {
-        !self.holders.borrow().is_empty()
+    /// Whether any snapshot source is known.
+    pub(super) fn has_snapshot_sources(&self) -> bool {
+        !self.snapshot_sources.borrow().is_empty()
     }
 
-    /// Copies the list from a peer that has a later one than `newer_than`. Looks for one for as long as knowledge may go
-    /// unconfirmed; where only a `gap` is to be filled and nobody has it, for a moment.
-    pub(super) async fn copy(&self, newer_than: Option<u64>, gap: bool) -> Copied {
+    /// Fetches a snapshot from a peer with a later revision than `newer_than`. Searches for a source for as
+    /// long as the known state may stay unconfirmed; if only a `gap` is missing and no peer has it, for a
+    /// short time.
+    pub(super) async fn fetch_snapshot(&self, newer_than: Option<u64>, gap: bool) -> SearchResult {
         if self.node.settings.gossip_port.is_none() {
-            return Copied::Nowhere;
+            return SearchResult::NotFound;
         }
-        let begun = self.node.clock.uptime();
-        let spread = 1.0 + self.node.state.borrow_mut().rng.random_range(0.0..SPREAD);
+        let search_started = self.node.clock.uptime();
+        let spread = 1.0 + self.node.state.borrow_mut().rng.random_range(0.0..SEARCH_SPREAD);
         let busy_timeout = self.freshness.get().limit().mul_f64(spread);
-        let no_source_timeout = if gap { GAP_SPREAD.mul_f64(spread) } else { busy_timeout };
+        let no_source_timeout = if gap { MIN_GAP_SEARCH.mul_f64(spread) } else { busy_timeout };
         let mut tried = Vec::new();
         loop {
             let uptime = self.node.now().duration_since(self.started);
-            let missing_for = self.node.clock.uptime().saturating_sub(begun);
+            let missing_for = self.node.clock.uptime().saturating_sub(search_started);
             let search = SnapshotSearch {
                 era: self.era.get(),
                 newer_than,
@@ -176,19 +185,19 @@
             };
             let step = {
                 let rng = &mut self.node.state.borrow_mut().rng;
-                self.holders.borrow().next(&search, self.source.get(), rng)
+                self.snapshot_sources.borrow().next(&search, self.source.get(), rng)
             };
             tried = search.tried;
             match step {
-                SnapshotStep::Store => return Copied::Nowhere,
+                SnapshotStep::Store => return SearchResult::NotFound,
                 SnapshotStep::Wait => {
                     tried.clear();
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
-                SnapshotStep::Peer(peer) => match self.copy_from(peer, newer_than).await {
-                    Ok(()) => return Copied::Whole,
+                SnapshotStep::Peer(peer) => match self.fetch_from(peer, newer_than).await {
+                    Ok(()) => return SearchResult::Fetched,
                     Err(error) => {
-                        debug!(self.node.log, "no copy"; "peer" => %peer, "error" => %error);
+                        debug!(self.node.log, "snapshot request failed"; "peer" => %peer, "error" => %error);
                         tried.push(peer);
                     }
                 },
@@ -196,84 +205,91 @@
         }
     }
 
-    /// Revision as of which the list was known last.
-    fn base(&self) -> Option<u64> {
-        self.revision.get().or(self.lost.get())
+    /// Revision of the last known list.
+    fn last_known_revision(&self) -> Option<u64> {
+        self.revision.get().or(self.lost_revision.get())
     }
 
-    async fn copy_from(&self, peer: SocketAddr, beyond: Option<u64>) -> Result<(), CopyError> {
-        let asked = self.node.clock.uptime();
-        let since = self.base().filter(|_| !self.diverged.get());
-        let since = since.map_or_else(|| WHOLE.to_owned(), |revision| revision.to_string());
-        let path = format!("{PATH}{}/{since}", tag(&self.node.settings.domain));
+    async fn fetch_from(&self, peer: SocketAddr, newer_than: Option<u64>) -> Result<(), SnapshotError> {
+        let called_at = self.node.clock.uptime();
+        let since = self.last_known_revision().filter(|_| !self.diverged.get());
+        let since = since.map_or_else(|| COMPLETE_LIST.to_owned(), |revision| revision.to_string());
+        let path = format!("{SNAPSHOT_PATH}{}/{since}", tag(&self.node.settings.domain));
         let call = Call { method: Method::GET, path, headers: HeaderMap::new(), body: Bytes::new() };
-        let result = self.node.call(peer, call, self.node.now() + COPY).await;
-        self.node.metrics.step("copy", outcome(result.as_ref().map(|(status, _)| *status)));
-        let (status, body) = result.map_err(CopyError::Exchange)?;
+        let result = self.node.call(peer, call, self.node.now() + TRANSFER_TIMEOUT).await;
+        self.node.metrics.count_step("copy", call_outcome(result.as_ref().map(|(status, _)| *status)));
+        let (status, body) = result.map_err(SnapshotError::Exchange)?;
         if status != StatusCode::OK {
-            return Err(CopyError::Status(status));
+            return Err(SnapshotError::Status(status));
         }
-        let copy: ListCopy = postcard::from_bytes(&body)?;
-        let known = self.revision.get().max(beyond);
-        let same = self.era.get().compare(Era::new(copy.era)) == EraOrder::Same;
-        if copy.format != FORMAT
+        let snapshot: Snapshot = postcard::from_bytes(&body)?;
+        let known = self.revision.get().max(newer_than);
+        let same = self.era.get().compare(Era::new(snapshot.era)) == EraOrder::Same;
+        if snapshot.format != FORMAT
             || !same
-            || known.is_some_and(|known| copy.revision <= known)
-            || (copy.since.is_some() && copy.since != self.base())
+            || known.is_some_and(|known| snapshot.revision <= known)
+            || (snapshot.since.is_some() && snapshot.since != self.last_known_revision())
         {
-            return Err(CopyError::Outdated(copy.revision));
+            return Err(SnapshotError::Outdated(snapshot.revision));
         }
-        self.take_copy(copy, asked, peer)
+        self.apply_snapshot(snapshot, called_at, peer)
     }
 
-    fn take_copy(&self, copy: ListCopy, asked: Duration, peer: SocketAddr) -> Result<(), CopyError> {
-        let ListCopy { era, revision, age, routes, since, groups, gone, checksum, .. } = copy;
+    fn apply_snapshot(
+        &self,
+        snapshot: Snapshot,
+        called_at: Duration,
+        peer: SocketAddr,
+    ) -> Result<(), SnapshotError> {
+        let Snapshot { era, revision, age, routes, since, groups, gone, checksum, .. } = snapshot;
         self.era.set(self.era.get().later(Era::new(era)));
-        self.note_absence();
-        // Pages that were read before the copy may show endpoints that it does not have yet.
-        let mut present = std::mem::take(&mut *self.reading.borrow_mut()).present;
+        self.record_missing_since();
+        // Pages that were read before the snapshot may contain endpoints that the snapshot does not have yet.
+        let mut present = std::mem::take(&mut *self.list_progress.borrow_mut()).present;
         if let Some(routes) = routes {
             self.apply_routes(routes);
         }
-        let listed = groups.into_iter().flat_map(Group::endpoints);
+        let listed = groups.into_iter().flat_map(EndpointGroup::endpoints);
         let mut changed = 0_usize;
         for endpoint in listed {
             present.insert(Arc::clone(&endpoint.id));
-            changed += usize::from(self.list_endpoint(endpoint, revision));
+            changed += usize::from(self.apply_listed(endpoint, revision));
         }
         if since.is_none() {
-            self.forget_absent(&present, revision);
+            self.remove_missing(&present, revision);
         }
         for id in gone {
             changed += 1;
-            self.lose(&id, revision);
+            self.remove_endpoint(&id, revision);
         }
         let diverged = since.is_some() && self.node.state.borrow().endpoints.checksum() != checksum;
         self.diverged.set(diverged);
         if diverged {
-            return Err(CopyError::Diverged);
+            return Err(SnapshotError::Diverged);
         }
-        self.has_whole(revision);
-        let age = millis(age);
-        self.confirmed_by_peer(asked, age);
+        self.record_complete_list(revision);
+        let age = from_millis(age);
+        self.confirm_from_peer(called_at, age);
         self.count_endpoints();
         info!(self.node.log, "list"; "from" => %peer, "revision" => revision, "age_ms" => age.as_millis() as u64,
             "since" => since, "changed" => changed);
         Ok(())
     }
 
-    /// Takes an endpoint of a copy over. The first list of thousands gets one line and not one for each endpoint.
-    fn list_endpoint(&self, endpoint: Endpoint, revision: u64) -> bool {
+    /// Applies an endpoint of a snapshot. The first list, of thousands of endpoints, is logged in one line
+    /// and not in one line for each endpoint.
+    fn apply_listed(&self, endpoint: Endpoint, revision: u64) -> bool {
         let mut state = self.node.state.borrow_mut();
-        if !state.whole {
+        if !state.list_complete {
             return state.endpoints.upsert(endpoint) != UpsertOutcome::Unchanged;
         }
         drop(state);
         self.apply_endpoint(endpoint, revision)
     }
 
-    /// A copy for a peer that knows the list as of a revision, if there is one to give.
-    pub(super) fn give(&self, since: Option<u64>) -> Option<Vec<u8>> {
+    /// Encodes a snapshot for a peer that knows the list as of a revision; `None` if this instance cannot
+    /// serve one.
+    pub(super) fn encode_snapshot(&self, since: Option<u64>) -> Option<Vec<u8>> {
         let revision = self.revision.get()?;
         let state = self.node.state.borrow();
         if !state.endpoints.all_confirmed(self.node.now()) {
@@ -288,17 +304,17 @@
                 (ids.iter().filter_map(listed).collect(), gone.cloned().collect())
             }
         };
-        let copy = ListCopy {
+        let snapshot = Snapshot {
             format: FORMAT,
             era: self.era.get().number(),
             revision,
-            age: told(self.freshness.get().age(self.node.clock.uptime())),
+            age: to_millis(self.freshness.get().age(self.node.clock.uptime())),
             routes: state.routes.clone(),
             since: since.filter(|_| changed.is_some()),
-            groups: Group::all(listed),
+            groups: EndpointGroup::all(listed),
             gone,
             checksum: state.endpoints.checksum(),
         };
-        postcard::to_allocvec(&copy).ok()
+        postcard::to_allocvec(&snapshot).ok()
     }
 }
--- a/crates/forward/src/catalog/store_updates.rs
+++ b/crates/forward/src/catalog/store_updates.rs
@@ -1,4 +1,4 @@
-//! News of the store that instances of a failure domain tell one another.
+//! Store updates that the instances of a failure domain send each other.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,173 +10,187 @@
 use slog::{debug, info, warn};
 use teaselshunt_routing::{Era, EraOrder, ReadNeed, UpdateEffect, UpdateSource};
 
-use super::{Catalog, RETURN};
+use super::{Catalog, ENTRY_RETURN_TIME};
 use crate::protocol::{Batch, StoreChange};
 
-/// Part of the time for which an instance believes what it was told, by which it asks sooner, at random: the first one that
-/// asks tells the others.
-const EARLY: f64 = 0.15;
-/// Longest news that are told to others, in bytes: some two hundred entries of endpoints, in a datagram of a few packets. Of
-/// longer ones they hear the revision and ask for themselves.
-const TELLING_MAX: usize = 12 * 1024;
+/// Largest random fraction of the time for which an instance relies on the last update, by which it asks the
+/// store earlier: the first instance that asks sends the response to the others.
+const EARLY_FRACTION: f64 = 0.15;
+/// Largest encoded changes that are sent to peers, in bytes: about two hundred entries of endpoints, in a
+/// datagram of a few packets. For longer ones peers get only the revision and ask for the changes themselves.
+const MAX_UPDATE_BYTES: usize = 12 * 1024;
 
-/// What the store answered, as it is told to peers.
+/// A response of the store as it is sent to peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Telling {
-    /// Era of the store to which the revisions belong.
+pub(crate) struct StoreUpdate {
+    /// Era of the store that the revisions belong to.
     era: Option<u64>,
-    /// Revision after which the changes in `news` begin.
+    /// Revision after which the changes begin.
     after: u64,
-    /// Revision up to which they go.
+    /// Revision up to which the changes go.
     revision: u64,
-    /// How long before the telling the store confirmed that, in milliseconds.
+    /// Time between the store's confirmation of this revision and the update, in milliseconds.
     age: u32,
-    /// For how much longer entries that go may be ones that lapsed while the store was away, in milliseconds. Not whether
-    /// they may: instances that tell one another would begin that time anew with each telling, without end, and would go
-    /// on to use endpoints that have left.
-    lapses: u32,
-    /// The news up to there, encoded; `None` if they are too long to be told.
-    news: Option<Vec<u8>>,
+    /// Time for which removed entries may still be ones that expired while the store was unreachable, in
+    /// milliseconds. A duration and not a flag: with a flag, instances that send each other updates would
+    /// restart the time with each update, without end, and would keep using endpoints that have left.
+    #[serde(rename = "lapses")]
+    expiry_window: u32,
+    /// The encoded changes up to the revision; `None` if they are too long to be sent.
+    #[serde(rename = "news")]
+    changes: Option<Vec<u8>>,
 }
 
 impl Catalog {
-    /// Peers of the same failure domain are those that `near` gives. Called several times a second.
-    pub(crate) fn peers_are(&self, own: SocketAddr, near: &HashSet<SocketAddr>) {
-        self.holders.borrow_mut().retain(|peer| near.contains(&peer));
-        let mut pulse = self.pulse.get();
-        pulse.tick(self.node.clock.uptime());
-        self.pulse.set(pulse);
-        let source = match UpdateSource::of(&own, near.iter().copied()) {
-            // Engines are ordered by what the list says now, without the way over a peer.
-            UpdateSource::Peers if self.orders => UpdateSource::Reader,
+    /// Sets the peers of the same failure domain. Called several times a second.
+    pub(crate) fn set_domain_peers(&self, own: SocketAddr, domain_peers: &HashSet<SocketAddr>) {
+        self.snapshot_sources.borrow_mut().retain(|peer| domain_peers.contains(&peer));
+        let mut stall_detector = self.stall_detector.get();
+        stall_detector.tick(self.node.clock.uptime());
+        self.stall_detector.set(stall_detector);
+        let source = match UpdateSource::of(&own, domain_peers.iter().copied()) {
+            // Orders to engines depend on the current list, without the delay of a peer.
+            UpdateSource::Peers if self.gives_orders => UpdateSource::Reader,
             source => source,
         };
         if self.source.replace(source) != source {
             info!(self.node.log, "news of the store"; "from" => source.text());
-            self.woken.notify_one();
+            self.wakeup.notify_one();
         }
     }
 
-    /// Whether what peers tell is enough for now.
-    pub(super) fn believes(&self) -> bool {
-        self.ask.get() == ReadNeed::No && self.freshness.get().remaining(self.node.clock.uptime()).is_some()
+    /// Whether updates from peers suffice for now.
+    pub(super) fn peers_suffice(&self) -> bool {
+        self.read_need.get() == ReadNeed::No
+            && self.freshness.get().remaining(self.node.clock.uptime()).is_some()
     }
 
-    /// Waits until what is known must be confirmed, or something else is to be looked at.
-    pub(super) async fn wait_for_word(&self) {
+    /// Waits until the known state must be confirmed, or until woken.
+    pub(super) async fn wait_for_update(&self) {
         let before = self.freshness.get();
         let Some(left) = before.remaining(self.node.clock.uptime()) else { return };
-        let part = self.node.state.borrow_mut().rng.random_range(0.0..EARLY);
-        let pause = left.saturating_sub(before.limit().mul_f64(part));
-        let woken = tokio::time::timeout(pause, self.woken.notified()).await.is_ok();
+        let fraction = self.node.state.borrow_mut().rng.random_range(0.0..EARLY_FRACTION);
+        let pause = left.saturating_sub(before.limit().mul_f64(fraction));
+        let woken = tokio::time::timeout(pause, self.wakeup.notified()).await.is_ok();
         if !woken && self.freshness.get() == before {
-            self.ask.set(ReadNeed::Due);
+            self.read_need.set(ReadNeed::Due);
         }
     }
 
-    /// A peer of the same failure domain tells what the store answered it.
-    pub(crate) fn told(&self, from: SocketAddr, telling: Telling) {
-        let Telling { era, after, revision, age, lapses, news } = telling;
+    /// Merges a store update from a peer of the same failure domain.
+    pub(crate) fn merge_update(&self, from: SocketAddr, update: StoreUpdate) {
+        let StoreUpdate { era, after, revision, age, expiry_window, changes } = update;
         match self.era.get().compare(Era::new(era)) {
             EraOrder::Same => {}
-            EraOrder::Newer => return self.ask(u64::MAX),
+            EraOrder::Newer => return self.request_revision(u64::MAX),
             EraOrder::Older => return,
         }
-        self.holders.borrow_mut().observe(from, Era::new(era), Some(revision));
-        let mut news: Option<Vec<StoreChange>> = match news.as_deref().map(postcard::from_bytes).transpose() {
-            Ok(news) => news,
-            Err(error) => {
-                warn!(self.node.log, "unreadable telling"; "revision" => revision, "error" => %error);
-                return self.ask(revision);
-            }
-        };
-        self.take_routes(news.as_mut());
+        self.snapshot_sources.borrow_mut().observe(from, Era::new(era), Some(revision));
+        let mut changes: Option<Vec<StoreChange>> =
+            match changes.as_deref().map(postcard::from_bytes).transpose() {
+                Ok(changes) => changes,
+                Err(error) => {
+                    warn!(self.node.log, "invalid store update"; "revision" => revision, "error" => %error);
+                    return self.request_revision(revision);
+                }
+            };
+        self.apply_contained_routes(changes.as_mut());
         let Some(known) = self.revision.get() else { return };
         let now = self.node.now();
-        self.may_lapse(now + millis(lapses).min(RETURN));
-        self.note_absence();
-        match UpdateEffect::of(known, after, revision, news.is_some()) {
+        self.extend_expiry_window(now + from_millis(expiry_window).min(ENTRY_RETURN_TIME));
+        self.record_missing_since();
+        match UpdateEffect::of(known, after, revision, changes.is_some()) {
             UpdateEffect::Confirmed => {}
             UpdateEffect::Changes => {
                 self.revision.set(Some(revision));
-                self.apply(Batch { changes: news.unwrap_or_default(), revision, next_key: None });
+                self.apply(Batch { changes: changes.unwrap_or_default(), revision, next_key: None });
             }
-            UpdateEffect::Gap => return self.ask(revision),
+            UpdateEffect::Gap => return self.request_revision(revision),
         }
-        self.confirmed_by_peer(self.node.clock.uptime(), millis(age));
+        self.confirm_from_peer(self.node.clock.uptime(), from_millis(age));
     }
 
-    /// A peer says that the store confirmed what is known now, so long before it said so at `told`.
-    pub(super) fn confirmed_by_peer(&self, told: Duration, age: Duration) {
+    /// Records a peer's report that the store confirmed the known state `age` before `reported_at`.
+    pub(super) fn confirm_from_peer(&self, reported_at: Duration, age: Duration) {
         let now = self.node.now();
-        self.confirmed(told.saturating_sub(age));
-        self.heard.set(self.heard.get().max(now.checked_sub(age).unwrap_or(now)));
-        self.node.state.borrow_mut().listed = Some(now);
+        self.confirm(reported_at.saturating_sub(age));
+        self.last_response.set(self.last_response.get().max(now.checked_sub(age).unwrap_or(now)));
+        self.node.state.borrow_mut().list_confirmed = Some(now);
     }
 
-    /// Applies a configuration at once, whatever else is missing here: a version replaces only a lower one, and binds
-    /// within seconds.
-    fn take_routes(&self, news: Option<&mut Vec<StoreChange>>) {
-        let Some(news) = news else { return };
-        news.retain(|piece| {
-            let StoreChange::Routes(routes) = piece else { return true };
+    /// Applies a configuration at once, even if other changes are missing here: a configuration replaces only
+    /// a lower version, and must be active within seconds.
+    fn apply_contained_routes(&self, changes: Option<&mut Vec<StoreChange>>) {
+        let Some(changes) = changes else { return };
+        changes.retain(|change| {
+            let StoreChange::Routes(routes) = change else { return true };
             self.apply_routes(Arc::clone(routes));
             false
         });
     }
 
-    /// The first page of a whole list was read: peers are told its configuration before the rest is read.
-    pub(super) fn tell_routes(&self) {
+    /// Sends peers the configuration of the first page of a complete listing, before the rest is read.
+    pub(super) fn publish_routes(&self) {
         let routes = self.node.state.borrow().routes.clone();
-        if let (UpdateSource::Reader, Some(lost), Some(routes)) = (self.source.get(), self.lost.get(), routes)
+        if let (UpdateSource::Reader, Some(lost_revision), Some(routes)) =
+            (self.source.get(), self.lost_revision.get(), routes)
         {
-            self.tell((lost, lost), &[StoreChange::Routes(routes)]);
+            self.publish((lost_revision, lost_revision), &[StoreChange::Routes(routes)]);
         }
     }
 
-    /// The whole list was read after history was lost: peers hear that it can be had here.
-    pub(super) fn tell_whole(&self) {
+    /// Announces to peers that a snapshot of the list is available here, after history was lost and the store
+    /// was listed again.
+    pub(super) fn announce_snapshot(&self) {
         let Some(revision) = self.revision.get().filter(|_| self.source.get() == UpdateSource::Reader) else {
             return;
         };
-        if self.lost.take().is_some() {
-            self.tell_news((revision, revision), None);
+        if self.lost_revision.take().is_some() {
+            self.publish_encoded((revision, revision), None);
         }
     }
 
-    /// Something up to a revision is missing here, which a peer or the store must be asked for.
-    fn ask(&self, revision: u64) {
-        self.ask.set(self.ask.get().with_gap(revision));
-        self.woken.notify_one();
+    /// Records that changes up to a revision are missing here; a peer or the store must be asked for them.
+    fn request_revision(&self, revision: u64) {
+        self.read_need.set(self.read_need.get().with_gap(revision));
+        self.wakeup.notify_one();
     }
 
-    /// Tells peers what the store answered. One telling that is lost is made good by the next, or by what the peers ask
-    /// themselves.
-    pub(super) fn tell(&self, (after, revision): (u64, u64), news: &[StoreChange]) {
-        let news = postcard::to_allocvec(news).ok().filter(|news| news.len() <= TELLING_MAX);
-        self.tell_news((after, revision), news);
+    /// Sends peers a response of the store. The next update, or a request of the peer itself, makes up for a
+    /// lost update.
+    pub(super) fn publish(&self, (after, revision): (u64, u64), changes: &[StoreChange]) {
+        let changes = postcard::to_allocvec(changes).ok().filter(|changes| changes.len() <= MAX_UPDATE_BYTES);
+        self.publish_encoded((after, revision), changes);
     }
 
-    fn tell_news(&self, (after, revision): (u64, u64), news: Option<Vec<u8>>) {
+    fn publish_encoded(&self, (after, revision): (u64, u64), changes: Option<Vec<u8>>) {
         let age = self.freshness.get().age(self.node.clock.uptime());
         let now = self.node.now();
-        let lapses = self.lapses.get().map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
-        let (age, lapses) = (told(age), told(lapses));
+        let expiry_window =
+            self.expiry_window_end.get().map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
+        let (age, expiry_window) = (to_millis(age), to_millis(expiry_window));
         if self
-            .tellings
-            .try_send(Telling { era: self.era.get().number(), after, revision, age, lapses, news })
+            .updates
+            .try_send(StoreUpdate {
+                era: self.era.get().number(),
+                after,
+                revision,
+                age,
+                expiry_window,
+                changes,
+            })
             .is_err()
         {
-            debug!(self.node.log, "a telling was dropped"; "revision" => revision);
+            debug!(self.node.log, "store update dropped"; "revision" => revision);
         }
     }
 }
 
-pub(super) const fn millis(time: u32) -> Duration {
+pub(super) const fn from_millis(time: u32) -> Duration {
     Duration::from_millis(time as u64)
 }
 
-/// A time as it is told, in milliseconds.
-pub(super) fn told(time: Duration) -> u32 {
+/// A duration in milliseconds, as it is sent to peers.
+pub(super) fn to_millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/forward/src/connection_pool.rs
+++ b/crates/forward/src/connection_pool.rs
@@ -1,8 +1,9 @@
-//! Connections to endpoints and to the platform, and one exchange over one of them.
+//! Connections to endpoints and to the platform, and one exchange over a connection.
 //!
-//! Connections are kept and used again, the youngest first, because endpoints charge for new ones. A connection is
-//! kept only after a whole answer that allows it. An exchange tells apart what provably never left this process,
-//! which may be sent again whatever it is, from what may have arrived.
+//! Connections are kept and reused, the most recently used first, because a new connection is costly for an
+//! endpoint. A connection is kept only after a complete response that allows reuse. An exchange distinguishes
+//! requests that provably never left this process, which may be sent again whatever their class, from those
+//! that may have arrived.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,35 +20,36 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Longest time for a connection to be made: some hundred round trips, and under the time after which a lost opening
-/// packet is sent again.
-const CONNECT: Duration = Duration::from_millis(150);
-/// How long an idle connection is kept where the other side announces nothing.
-const KEEP: Duration = Duration::from_secs(3);
-/// Subtracted from an announced idle timeout, for the way there.
-const MARGIN: Duration = Duration::from_millis(600);
-/// Idle connections kept to one address; a burst of one instance to one endpoint rarely has more at a time.
-const IDLE: usize = 6;
-/// Largest request body after which a connection is kept. Of a larger one an endpoint may leave a rest unread when it
-/// answers early, and would take the next request for that rest.
-const REST: usize = 32 * 1024;
-
-/// Largest head of an answer, and most of a body that is read at a time, in bytes: pieces of an answer wait whole for a slow
-/// caller.
-const BUFFER: usize = 32 * 1024;
-
-/// Why an exchange brought no answer.
+/// Longest time to open a connection: about a hundred round trips, and shorter than the time after which a
+/// lost SYN packet is retransmitted.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long an idle connection is kept if the server announces no timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(3);
+/// Subtracted from an announced idle timeout, for the transit of the next request.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
+/// Most idle connections to one address; a burst from one instance to one endpoint rarely needs more at a
+/// time.
+const MAX_IDLE: usize = 6;
+/// Largest request body after which a connection is kept. An endpoint that responds early may leave the rest
+/// of a larger body unread and would parse the next request as this rest.
+const MAX_REUSE_BODY_BYTES: usize = 32 * 1024;
+
+/// Largest response head, and most of a body that is read at a time, in bytes: complete pieces of a response
+/// wait for a slow caller.
+const BUFFER_BYTES: usize = 32 * 1024;
+
+/// Why an exchange brought no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Failure {
+pub(crate) enum ExchangeFailure {
     /// Nothing left this process.
     Unsent,
-    /// It may have arrived; the connection broke or the answer made no sense.
+    /// The request may have arrived; the connection broke or the response was invalid.
     Broken,
-    /// It may have arrived; no answer came in time.
+    /// The request may have arrived; there was no response in time.
     TimedOut,
 }
 
-impl Failure {
+impl ExchangeFailure {
     pub(crate) const fn text(self) -> &'static str {
         match self {
             Self::Unsent => "unsent",
@@ -57,20 +59,21 @@
     }
 }
 
-/// An open connection with nothing on its way. Dropping it closes it.
+/// An open connection without a request in progress. Dropping it closes the connection.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     address: SocketAddr,
-    keep: Duration,
-    since: Instant,
+    keep_alive: Duration,
+    idle_since: Instant,
     reusable: bool,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Ends the task that owns the socket, so that an endpoint sees at once that nobody waits any more.
+        // Ends the task that owns the socket, so that the endpoint sees at once that the request is
+        // abandoned.
         self.task.abort();
     }
 }
@@ -79,21 +82,21 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    /// Most idle connections to one address, if fewer than [`IDLE`].
-    most: Cell<Option<usize>>,
+    /// Most idle connections to one address, if fewer than [`MAX_IDLE`].
+    max_idle: Cell<Option<usize>>,
 }
 
 impl ConnectionPool {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn exchange(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         until: Instant,
-    ) -> Result<(Response<Incoming>, Connection), Failure> {
+    ) -> Result<(Response<Incoming>, Connection), ExchangeFailure> {
         match tokio::time::timeout_at(until.into(), self.send(address, request)).await {
             Ok(result) => result,
-            Err(_) => Err(Failure::TimedOut),
+            Err(_) => Err(ExchangeFailure::TimedOut),
         }
     }
 
@@ -101,31 +104,32 @@
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, Connection), Failure> {
+    ) -> Result<(Response<Incoming>, Connection), ExchangeFailure> {
         let size = hyper::body::Body::size_hint(request.body()).exact().unwrap_or(u64::MAX);
         loop {
-            let (mut connection, fresh) = match self.take(address) {
+            let (mut connection, is_new) = match self.take(address) {
                 Some(connection) => (connection, false),
                 None => (connect(address).await?, true),
             };
             match connection.sender.try_send_request(request).await {
                 Ok(response) => {
-                    connection.keep = announced(response.headers());
-                    connection.reusable = size <= REST as u64 && may_reuse(&response);
+                    connection.keep_alive = announced_keep_alive(response.headers());
+                    connection.reusable = size <= MAX_REUSE_BODY_BYTES as u64 && may_reuse(&response);
                     return Ok((response, connection));
                 }
                 Err(mut error) => match error.take_message() {
-                    // The connection had closed before anything was written to it.
-                    Some(unsent) if !fresh => request = unsent,
-                    Some(_) => return Err(Failure::Unsent),
-                    None => return Err(Failure::Broken),
+                    // The connection was closed before anything was written to it.
+                    Some(unsent) if !is_new => request = unsent,
+                    Some(_) => return Err(ExchangeFailure::Unsent),
+                    None => return Err(ExchangeFailure::Broken),
                 },
             }
         }
     }
 
-    /// Whether a new connection can be made now. It is kept, since endpoints charge for new ones.
-    pub(crate) async fn reach(&self, address: SocketAddr) -> bool {
+    /// Whether a new connection can be opened now. The connection is kept, since new connections are costly
+    /// for endpoints.
+    pub(crate) async fn can_connect(&self, address: SocketAddr) -> bool {
         let Ok(mut connection) = connect(address).await else { return false };
         connection.reusable = true;
         self.put(connection);
@@ -136,64 +140,72 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
-            let young = connection.since.elapsed() < connection.keep;
-            if young && connection.sender.is_ready() && !connection.sender.is_closed() {
+            let is_fresh = connection.idle_since.elapsed() < connection.keep_alive;
+            if is_fresh && connection.sender.is_ready() && !connection.sender.is_closed() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Keeps a connection whose last response was read to its end.
     pub(crate) fn put(&self, mut connection: Connection) {
         if !connection.reusable || connection.sender.is_closed() {
             return;
         }
-        connection.since = Instant::now();
+        connection.idle_since = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(connection.address).or_default();
-        let most = self.most.get().map_or(IDLE, |most| most.min(IDLE));
-        if connections.len() >= most {
+        let max_idle = self.max_idle.get().map_or(MAX_IDLE, |max_idle| max_idle.min(MAX_IDLE));
+        if connections.len() >= max_idle {
             connections.remove(0);
         }
         connections.push(connection);
     }
 
-    /// Sets the most idle connections that may be kept to one address.
-    pub(crate) fn keep_at_most(&self, most: Option<usize>) {
-        self.most.set(most);
+    /// Sets the most idle connections to one address.
+    pub(crate) fn set_max_idle(&self, max_idle: Option<usize>) {
+        self.max_idle.set(max_idle);
     }
 
     /// Closes connections that have been idle too long.
-    pub(crate) fn sweep(&self) {
+    pub(crate) fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|c| c.since.elapsed() < c.keep && !c.sender.is_closed());
+            connections.retain(|c| c.idle_since.elapsed() < c.keep_alive && !c.sender.is_closed());
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<Connection, Failure> {
-    let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(address));
+async fn connect(address: SocketAddr) -> Result<Connection, ExchangeFailure> {
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let Ok(Ok(stream)) = connecting.await else {
-        return Err(Failure::Unsent);
+        return Err(ExchangeFailure::Unsent);
     };
-    // Small writes go out at once; a failure only costs latency.
+    // Sends small writes without delay; a failure only costs latency.
     let _ = stream.set_nodelay(true);
     let io = TokioIo::new(stream);
-    let Ok((sender, connection)) = http1::Builder::new().max_buf_size(BUFFER).handshake(io).await else {
-        return Err(Failure::Unsent);
+    let Ok((sender, connection)) = http1::Builder::new().max_buf_size(BUFFER_BYTES).handshake(io).await
+    else {
+        return Err(ExchangeFailure::Unsent);
     };
-    // How the connection ends is seen by whoever waits for an answer on it.
+    // The task that waits for a response on the connection sees how the connection ends.
     let task = tokio::task::spawn_local(async move {
         let _ = connection.await;
     });
-    Ok(Connection { sender, task, address, keep: KEEP, since: Instant::now(), reusable: false })
+    Ok(Connection {
+        sender,
+        task,
+        address,
+        keep_alive: DEFAULT_KEEP_ALIVE,
+        idle_since: Instant::now(),
+        reusable: false,
+    })
 }
 
-/// Whether the connection may carry another request after this answer: it has a framed end and was not announced to
-/// close.
+/// Whether the connection may carry another request after this response: the response is framed and does not
+/// announce that the connection closes.
 fn may_reuse(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let closes = headers
@@ -204,10 +216,10 @@
     !closes && framed
 }
 
-/// How long the other side keeps an idle connection, from its `Keep-Alive: timeout=SECONDS`.
-fn announced(headers: &HeaderMap) -> Duration {
+/// How long the server keeps an idle connection, from its `Keep-Alive: timeout=SECONDS`.
+fn announced_keep_alive(headers: &HeaderMap) -> Duration {
     let seconds = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
         v.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok())
     });
-    seconds.map_or(KEEP, |s| Duration::from_secs(s).saturating_sub(MARGIN))
+    seconds.map_or(DEFAULT_KEEP_ALIVE, |s| Duration::from_secs(s).saturating_sub(KEEP_ALIVE_MARGIN))
 }
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -1,12 +1,13 @@
-//! Whether an endpoint has crashed under the requests that it lost. What follows from that for a request is decided by
-//! [`Quarantine`](teaselshunt_core::Quarantine).
+//! Detects whether an endpoint has crashed under the requests that it lost.
+//! [`Quarantine`](teaselshunt_core::Quarantine) decides the consequences for a request.
 //!
-//! A connection that breaks does not say so: an endpoint can lose one answer, and something on the way can reset
-//! connections. But an endpoint that takes no new connection either, right after it lost a request, has ended or is cut
-//! off. One check serves all requests that the endpoint lost meanwhile.
+//! A broken connection alone proves nothing: an endpoint can lose one response, and the network can reset
+//! connections. But an endpoint that also refuses a new connection, right after it lost a request, has ended
+//! or is partitioned. One check covers all requests that the endpoint lost meanwhile.
 //!
-//! A request whose caller leaves loses its connection by our own doing, so that its endpoint is not checked. If the endpoint
-//! crashes at about that time, under others that this instance or a peer runs there, the request was present as well.
+//! If a caller disconnects, this instance itself closes the connection to the endpoint, so that the endpoint
+//! is not checked. If the endpoint crashes at about that time, under other requests that this instance or a
+//! peer runs there, the abandoned request was present as well.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,143 +21,153 @@
 use crate::node::{Job, Node};
 use crate::trace::Trace;
 
-/// Time between a loss and the check: a process that ends closes its connections and its listener one after the other.
-/// Restarts take longer.
-const SETTLE: Duration = Duration::from_millis(50);
+/// Time between a loss and the check: a process that exits closes its connections and its listener one after
+/// the other. Restarts take longer.
+const CHECK_DELAY: Duration = Duration::from_millis(50);
 
-/// How far apart a crash and the moment in which a caller left may be for its request to have been present: endpoints stop
-/// within this what nobody waits for.
-const PRESENT: Duration = Duration::from_millis(500);
-/// How long requests whose callers left are remembered: word of a crash from a peer comes within it.
-const MEMORY: Duration = Duration::from_secs(2);
+/// Longest time between a crash and a caller's disconnection for the request to count as present: endpoints
+/// cancel an abandoned request within this time.
+const PRESENCE_WINDOW: Duration = Duration::from_millis(500);
+/// How long abandoned requests are remembered; a peer's crash report arrives within this time.
+const ABANDONED_RETENTION: Duration = Duration::from_secs(2);
 
-/// A run that an endpoint did not end.
+/// A run that an endpoint did not complete.
 #[derive(Debug, Clone)]
 pub(crate) struct Loss {
-    /// The caller's id of the request.
+    /// Request id set by the caller.
     request: String,
     fingerprint: Fingerprint,
-    /// When it was sent there.
-    begun: Instant,
-    /// When it was lost.
+    /// When the request was sent to the endpoint.
+    sent_at: Instant,
+    /// When the request was lost.
     at: Instant,
 }
 
 impl Loss {
-    fn new(node: &Node, job: &Job, begun: Instant) -> Self {
-        Self { request: job.meta.id.clone(), fingerprint: job.fingerprint(), begun, at: node.now() }
+    fn new(node: &Node, job: &Job, sent_at: Instant) -> Self {
+        Self { request: job.meta.id.clone(), fingerprint: job.fingerprint(), sent_at, at: node.now() }
     }
 
-    /// For logs: what was asked for, under which id, and how long it had been there.
-    fn text(&self) -> String {
-        let ran = self.at.duration_since(self.begun).as_millis();
+    /// Describes the loss for logs: fingerprint, request id and running time.
+    fn describe(&self) -> String {
+        let ran = self.at.duration_since(self.sent_at).as_millis();
         format!("{}@{}+{ran}ms", self.fingerprint, self.request)
     }
 }
 
-/// An endpoint lost a request that was sent there at `begun`. Finds out whether it has crashed.
-pub(crate) fn check(node: &Rc<Node>, job: &Job, trace: &Trace, endpoint: EndpointKey, begun: Instant) {
-    let loss = Loss::new(node, job, begun);
-    trace.fingerprint(loss.fingerprint);
+/// Checks whether an endpoint has crashed after it lost a request that was sent at `sent_at`.
+pub(crate) fn check_endpoint(
+    node: &Rc<Node>,
+    job: &Job,
+    trace: &Trace,
+    endpoint: EndpointKey,
+    sent_at: Instant,
+) {
+    let loss = Loss::new(node, job, sent_at);
+    trace.set_fingerprint(loss.fingerprint);
     let mut losses = node.losses.borrow_mut();
-    let same = losses.entry(endpoint).or_default();
-    same.push(loss);
-    if same.len() == 1 {
-        tokio::task::spawn_local(conclude(Rc::clone(node), endpoint));
+    let pending = losses.entry(endpoint).or_default();
+    pending.push(loss);
+    if pending.len() == 1 {
+        tokio::task::spawn_local(finish_check(Rc::clone(node), endpoint));
     }
 }
 
-/// A run whose caller left, and the endpoint that it was at.
+/// A run whose caller disconnected, and its endpoint.
 #[derive(Debug)]
-struct Left {
+struct AbandonedRun {
     endpoint: EndpointIncarnation,
     id: Arc<str>,
     loss: Loss,
 }
 
-/// Runs whose callers left lately.
+/// Runs whose callers disconnected recently.
 #[derive(Debug, Default)]
-pub(crate) struct Abandoned(Vec<Left>);
+pub(crate) struct AbandonedRuns(Vec<AbandonedRun>);
 
-impl Abandoned {
-    fn insert(&mut self, now: Instant, left: Left) {
-        self.0.retain(|known| now.duration_since(known.loss.at) < MEMORY);
-        self.0.push(left);
+impl AbandonedRuns {
+    fn insert(&mut self, now: Instant, run: AbandonedRun) {
+        self.0.retain(|known| now.duration_since(known.loss.at) < ABANDONED_RETENTION);
+        self.0.push(run);
     }
 
-    /// Takes out those that were present when an endpoint crashed.
-    fn take(&mut self, endpoint: EndpointIncarnation, crashed: Instant) -> Vec<Left> {
-        let present = |left: &mut Left| {
-            let at = left.loss.at;
-            left.endpoint == endpoint && at.max(crashed).duration_since(at.min(crashed)) < PRESENT
+    /// Removes and returns the runs that were present when an endpoint crashed.
+    fn take_present(&mut self, endpoint: EndpointIncarnation, crashed: Instant) -> Vec<AbandonedRun> {
+        let present = |run: &mut AbandonedRun| {
+            let at = run.loss.at;
+            run.endpoint == endpoint && at.max(crashed).duration_since(at.min(crashed)) < PRESENCE_WINDOW
         };
         self.0.extract_if(.., present).collect()
     }
 }
 
-/// A call to an endpoint. Dropped before it has [ended](Self::ended), its caller has left.
-pub(crate) struct Watch<'a> {
+/// A call to an endpoint. Dropping it before it has [ended](Self::ended) means that the caller has
+/// disconnected.
+pub(crate) struct CallGuard<'a> {
     node: &'a Node,
     job: &'a Job,
     endpoint: EndpointKey,
-    begun: Instant,
+    sent_at: Instant,
     ended: bool,
 }
 
-impl<'a> Watch<'a> {
+impl<'a> CallGuard<'a> {
     pub(crate) fn new(node: &'a Node, job: &'a Job, endpoint: EndpointKey) -> Self {
-        Self { node, job, endpoint, begun: node.now(), ended: false }
+        Self { node, job, endpoint, sent_at: node.now(), ended: false }
     }
 
-    /// The call has its result; says when it began.
+    /// Records that the call has its result; returns when it began.
     pub(crate) fn ended(mut self) -> Instant {
         self.ended = true;
-        self.begun
+        self.sent_at
     }
 }
 
-impl Drop for Watch<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            left(self.node, self.job, self.endpoint, self.begun);
+            record_abandoned(self.node, self.job, self.endpoint, self.sent_at);
         }
     }
 }
 
-/// The caller of a request left while it was at an endpoint since `begun`.
-pub(crate) fn left(node: &Node, job: &Job, endpoint: EndpointKey, begun: Instant) {
-    let Some((_, id, endpoint)) = listed(node, endpoint) else { return };
-    let loss = Loss::new(node, job, begun);
-    node.abandoned.borrow_mut().insert(loss.at, Left { endpoint, id, loss });
+/// Records that the caller of a request disconnected while the request was at an endpoint since `sent_at`.
+pub(crate) fn record_abandoned(node: &Node, job: &Job, endpoint: EndpointKey, sent_at: Instant) {
+    let Some((_, id, endpoint)) = live_endpoint(node, endpoint) else { return };
+    let loss = Loss::new(node, job, sent_at);
+    node.abandoned.borrow_mut().insert(loss.at, AbandonedRun { endpoint, id, loss });
 }
 
-/// A peer tells of a crash: requests whose callers left that endpoint here at about that time were present.
-pub(crate) fn told(node: &Node, crash: Crash) {
-    let present = node.abandoned.borrow_mut().take(crash.endpoint, crash.at);
-    let Some(id) = present.first().map(|left| Arc::clone(&left.id)) else { return };
-    let losses = present.into_iter().map(|left| left.loss).collect();
-    accuse(node, &id, crash.endpoint, losses);
+/// Merges a peer's crash report: requests that callers abandoned at that endpoint at about that time were
+/// present.
+pub(crate) fn merge_crash(node: &Node, crash: Crash) {
+    let present = node.abandoned.borrow_mut().take_present(crash.endpoint, crash.at);
+    let Some(id) = present.first().map(|run| Arc::clone(&run.id)) else { return };
+    let losses = present.into_iter().map(|run| run.loss).collect();
+    attribute_crash(node, &id, crash.endpoint, losses);
 }
 
-async fn conclude(node: Rc<Node>, endpoint: EndpointKey) {
-    tokio::time::sleep(SETTLE).await;
-    let listed = listed(&node, endpoint);
-    let reached = match &listed {
-        Some((address, ..)) => node.pool.reach(*address).await,
+async fn finish_check(node: Rc<Node>, endpoint: EndpointKey) {
+    tokio::time::sleep(CHECK_DELAY).await;
+    let live = live_endpoint(&node, endpoint);
+    let is_reachable = match &live {
+        Some((address, ..)) => node.pool.can_connect(*address).await,
         None => true,
     };
     let mut losses = node.losses.borrow_mut().remove(&endpoint).unwrap_or_default();
-    let Some((_, id, start)) = listed.filter(|_| !reached) else { return };
+    let Some((_, id, incarnation)) = live.filter(|_| !is_reachable) else { return };
     if let Some(first) = losses.first().map(|loss| loss.at) {
-        losses.extend(node.abandoned.borrow_mut().take(start, first).into_iter().map(|left| left.loss));
+        losses.extend(
+            node.abandoned.borrow_mut().take_present(incarnation, first).into_iter().map(|run| run.loss),
+        );
     }
-    accuse(&node, &id, start, losses);
-    node.changed.notify_one();
+    attribute_crash(&node, &id, incarnation, losses);
+    node.gossip_wakeup.notify_one();
 }
 
-/// Notes that an endpoint crashed under requests.
-fn accuse(node: &Node, id: &str, endpoint: EndpointIncarnation, losses: Vec<Loss>) {
-    let requests: Vec<_> = losses.iter().map(Loss::text).collect();
+/// Attributes an endpoint's crash to requests.
+fn attribute_crash(node: &Node, id: &str, endpoint: EndpointIncarnation, losses: Vec<Loss>) {
+    let requests: Vec<_> = losses.iter().map(Loss::describe).collect();
     info!(node.log, "endpoint"; "endpoint" => id, "state" => "crashed", "under" => requests.join(" "));
     let now = node.now();
     for Loss { fingerprint: request, at, .. } in losses {
@@ -167,18 +178,18 @@
     }
 }
 
-/// Address, id and start of an endpoint that is expected to end what it runs. One that leaves as planned, or has left the
-/// list, is not.
-fn listed(node: &Node, endpoint: EndpointKey) -> Option<(SocketAddr, Arc<str>, EndpointIncarnation)> {
+/// Address, id and incarnation of an endpoint that is expected to complete its requests. A draining endpoint,
+/// or one that was removed from the list, is not.
+fn live_endpoint(node: &Node, endpoint: EndpointKey) -> Option<(SocketAddr, Arc<str>, EndpointIncarnation)> {
     let state = node.state.borrow();
     let tag = state.endpoints.tag(endpoint)?;
     let found = state.endpoints.get(endpoint).filter(|e| e.state == EndpointState::Ready)?;
     Some((found.address, Arc::clone(&found.id), EndpointIncarnation(u64::from(tag.0))))
 }
 
-/// A request is in quarantine from now on.
+/// Logs that a request is in quarantine from now on.
 pub(crate) fn log_quarantine(node: &Node, request: Fingerprint) {
     let until = node.state.borrow().quarantine.until(node.now(), request);
-    let left = until.map(|until| until.duration_since(node.now()).as_secs());
-    warn!(node.log, "quarantine"; "fingerprint" => %request, "for_s" => left);
+    let remaining = until.map(|until| until.duration_since(node.now()).as_secs());
+    warn!(node.log, "quarantine"; "fingerprint" => %request, "for_s" => remaining);
 }
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -1,13 +1,15 @@
-//! Datagrams between instances: what each has in flight at engines, who there is, and what the store said.
+//! Gossip between instances in datagrams: the load that each sends to engines, the known peers, and store
+//! updates.
 //!
-//! There is no list of instances, only the addresses of a few, some of which may be gone. Each instance tells these of
-//! itself; every datagram names some others, so that after some rounds all know all. A peer that is silent is forgotten.
+//! There is no list of instances, only the seeds: the addresses of a few, of which some may have ended. Each
+//! instance sends reports to the seeds. Every datagram names some other peers, so that after some rounds all
+//! instances know all others. A peer that stays unresponsive is removed.
 //!
-//! Plain datagrams and not QUIC: what is targets is old after a moment, a lost one is made good by the next, and the
-//! platform hands out no keys that a handshake could rest on. A false digest can make choices worse, or have a request
-//! refused for a while; it cannot make a request run twice or a refusal false. A false telling of the store's news could
-//! send work to the wrong endpoint: tellings are taken from peers of the same failure domain that have been heard, but
-//! nobody proves who it is.
+//! Gossip uses plain datagrams and not QUIC: a report is outdated after a moment, the next one makes up for a
+//! lost one, and the platform provides no keys for a handshake. A forged report can make choices worse, or
+//! have a request refused for a while; it cannot make a request run twice or a refusal false. A forged store
+//! update could send work to the wrong endpoint. Store updates are therefore accepted only from known peers
+//! of the same failure domain, but no peer is authenticated.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,23 +25,23 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::catalog::{Catalog, Telling};
+use crate::catalog::{Catalog, StoreUpdate};
 use crate::crashes::{self, log_quarantine};
 use crate::node::{Node, Phase};
 use crate::rates::{self, RateEntry};
 
-/// How long all that keeps requests in quarantine is told after a peer was heard that may not know it; some heartbeats, since
-/// datagrams are lost.
-const NEWCOMER: Duration = Duration::from_secs(2);
+/// How long all crash reports that keep requests in quarantine are sent after a new peer was heard, which may
+/// not know them. This is several gossip intervals, since datagrams are lost.
+const NEW_PEER_WINDOW: Duration = Duration::from_secs(2);
 /// Largest datagram that is read, in bytes.
-const LARGEST: usize = 16 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
-/// First byte of each datagram. Another one is of a version that reads differently, and is passed over.
+/// First byte of each datagram. Datagrams of other versions have another layout and are ignored.
 const VERSION: u8 = 7;
-/// Tellings that wait to be sent; more are dropped, and the next one makes them good.
-pub(crate) const TELLINGS: usize = 16;
+/// Store updates that may wait to be sent. Further ones are dropped; the next update makes up for them.
+pub(crate) const UPDATE_QUEUE: usize = 16;
 
-/// What instances send one another.
+/// What instances send each other.
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
     /// [`VERSION`].
@@ -51,66 +53,71 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Content {
-    Digest(Digest),
-    Telling(Telling),
+    #[serde(rename = "Digest")]
+    Report(Report),
+    #[serde(rename = "Telling")]
+    StoreUpdate(StoreUpdate),
 }
 
-/// Everything that a sender has in flight.
+/// What an instance reports of itself.
 #[derive(Debug, Serialize, Deserialize)]
-struct Digest {
-    /// Drawn at random at the start of the sender.
-    life: u64,
-    /// Grows with each digest of that life.
+struct Report {
+    /// Incarnation of the sender: drawn at random at its start.
+    #[serde(rename = "life")]
+    incarnation: u64,
+    /// Increases with each report of the incarnation.
     sequence: u64,
-    /// Tokens by engine.
+    /// Tokens in flight by engine.
     in_flight: Vec<(u32, u32)>,
-    /// Endpoints that the sender could not use lately.
+    /// Endpoints that the sender could not use recently.
     suspects: Vec<u32>,
-    /// Decode engines that read a prompt of the sender themselves now.
-    reads: Vec<u32>,
+    /// Decode engines with a local prefill of the sender in progress.
+    #[serde(rename = "reads")]
+    local_prefills: Vec<u32>,
     /// Crashes of endpoints under requests.
     crashes: Vec<CrashReport>,
-    /// Requests that were answered whole after endpoints had crashed under them.
+    /// Requests with a complete response after endpoints had crashed under them.
     served: Vec<Fingerprint>,
-    /// What teams near their limits were admitted.
+    /// Units admitted for teams near their limits.
     spending: Vec<TeamSpending>,
-    /// Rates that endpoints name, and what was sent to these.
+    /// Rate limits that endpoints advertise, and the requests sent to these endpoints.
     rates: Vec<RateEntry>,
-    /// Instances that the sender remembers, with itself.
+    /// Instances that the sender remembers, including itself.
     instances: u32,
-    /// Whether the sender is about to end.
+    /// Whether the sender is shutting down.
     leaving: bool,
-    /// Era and revision of the list that it can give a copy of.
-    holds: (Option<u64>, Option<u64>),
+    /// Era and revision of the list that the sender can serve a snapshot of.
+    #[serde(rename = "holds")]
+    snapshot_revision: (Option<u64>, Option<u64>),
 }
 
-/// What stands behind a datagram and is not the same to all.
+/// Trailer of a datagram that differs between recipients.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Tail {
     /// Some other peers.
     named: Vec<SocketAddr>,
-    /// After which time the sender tells something again at the latest, in milliseconds.
+    /// Longest time until the sender sends its next report, in milliseconds.
     next: u32,
 }
 
-/// Sends and receives digests for as long as the process runs.
+/// Sends and receives gossip until the process ends.
 pub(crate) async fn run(
     catalog: Rc<Catalog>,
     node: Rc<Node>,
     port: u16,
-    mut tellings: mpsc::Receiver<Telling>,
+    mut updates: mpsc::Receiver<StoreUpdate>,
 ) {
     let own = SocketAddr::new(node.settings.callers_address.ip(), port);
     let socket = match UdpSocket::bind(own).await {
         Ok(socket) => socket,
         Err(error) => {
-            // Without peers an instance chooses by what it has in flight itself.
-            warn!(node.log, "no peers"; "address" => %own, "error" => %error);
+            // Without peers an instance chooses endpoints by its own load alone.
+            warn!(node.log, "cannot listen for gossip"; "address" => %own, "error" => %error);
             return;
         }
     };
     let seeds: Vec<_> = node.settings.seeds.iter().map(|s| SocketAddr::new(s.ip(), port)).collect();
-    let (life, started) = (node.state.borrow_mut().rng.random(), node.now());
+    let (incarnation, started) = (node.state.borrow_mut().rng.random(), node.now());
     let domain = tag(&node.settings.domain);
     let mut gossip = Gossip {
         catalog,
@@ -119,12 +126,12 @@
         domain,
         seeds,
         peers: Peers::new(domain),
-        life,
+        incarnation,
         sequence: 0,
         started,
-        newcomer: None,
+        new_peer_at: None,
     };
-    let mut buffer = vec![0; LARGEST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut next = gossip.node.now();
     let mut pause = gossip.peers.round_pause(false);
     loop {
@@ -135,8 +142,8 @@
                     gossip.receive(from, &buffer[..length]);
                 }
             }
-            Some(telling) = tellings.recv() => gossip.tell(&socket, telling).await,
-            () = wait(&node, next, pause) => {
+            Some(update) = updates.recv() => gossip.send_update(&socket, update).await,
+            () = wait_for_change(&node, next, pause) => {
                 let urgent = gossip.send(&socket).await;
                 pause = gossip.peers.round_pause(urgent);
                 next = node.now() + gossip.peers.min_interval();
@@ -146,10 +153,10 @@
 }
 
 /// Waits until `due` and then for a change, at most for `pause`.
-async fn wait(node: &Node, due: Instant, pause: Duration) {
+async fn wait_for_change(node: &Node, due: Instant, pause: Duration) {
     tokio::time::sleep_until(due.into()).await;
-    // Whether there was a change or the time is over, it is time to send.
-    let _ = tokio::time::timeout_at((due + pause).into(), node.changed.notified()).await;
+    // A report is sent both after a change and after the timeout.
+    let _ = tokio::time::timeout_at((due + pause).into(), node.gossip_wakeup.notified()).await;
 }
 
 struct Gossip {
@@ -159,11 +166,11 @@
     domain: u32,
     seeds: Vec<SocketAddr>,
     peers: Peers<SocketAddr>,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     started: Instant,
-    /// When a peer was last heard that is new here, or has started again.
-    newcomer: Option<Instant>,
+    /// When a new peer, or a new incarnation of a known peer, was last heard.
+    new_peer_at: Option<Instant>,
 }
 
 impl Gossip {
@@ -172,27 +179,27 @@
         if datagram.version != VERSION {
             return;
         }
-        let near = datagram.domain == self.domain;
+        let same_domain = datagram.domain == self.domain;
         match datagram.content {
-            Content::Digest(digest) => {
-                if near {
-                    self.catalog.holder(from, digest.holds);
+            Content::Report(report) => {
+                if same_domain {
+                    self.catalog.observe_snapshot_source(from, report.snapshot_revision);
                 }
-                self.receive_digest(from, datagram.domain, digest, tail);
+                self.receive_report(from, datagram.domain, report, tail);
             }
-            Content::Telling(telling) if near && self.peers.contains(from) => {
-                self.catalog.told(from, telling);
+            Content::StoreUpdate(update) if same_domain && self.peers.contains(from) => {
+                self.catalog.merge_update(from, update);
             }
-            Content::Telling(_) => {}
+            Content::StoreUpdate(_) => {}
         }
     }
 
-    fn receive_digest(&mut self, from: SocketAddr, domain: u32, digest: Digest, tail: Tail) {
+    fn receive_report(&mut self, from: SocketAddr, domain: u32, report: Report, tail: Tail) {
         let now = self.node.now();
         let next = Duration::from_millis(u64::from(tail.next));
         if self.peers.observe(now, from, domain, next) {
-            // Whoever starts waits to hear who there is.
-            self.node.changed.notify_one();
+            // A starting peer waits to learn the other instances.
+            self.node.gossip_wakeup.notify_one();
             info!(self.node.log, "peer"; "address" => %from, "state" => "known", "peers" => self.peers.len());
         }
         for peer in tail.named {
@@ -200,35 +207,35 @@
                 self.peers.add_reported(now, peer);
             }
         }
-        let in_flight = digest.in_flight.into_iter().map(|(tag, tokens)| (EngineTag(tag), tokens)).collect();
-        self.receive_crashes(now, digest.crashes, digest.served);
+        let in_flight = report.in_flight.into_iter().map(|(tag, tokens)| (EngineTag(tag), tokens)).collect();
+        self.receive_crashes(now, report.crashes, report.served);
         let mut state = self.node.state.borrow_mut();
         let uptime = self.node.clock.uptime();
-        let hearing = UpdateHeader {
-            incarnation: digest.life,
-            sequence: digest.sequence,
+        let header = UpdateHeader {
+            incarnation: report.incarnation,
+            sequence: report.sequence,
             domain,
-            draining: digest.leaving,
-            known_instances: digest.instances,
+            draining: report.leaving,
+            known_instances: report.instances,
         };
-        let is_new = state.quotas.receive_update(uptime, from, hearing);
+        let is_new = state.quotas.receive_update(uptime, from, header);
         if is_new {
-            state.quotas.merge_spending(uptime, from, digest.spending);
+            state.quotas.merge_spending(uptime, from, report.spending);
         }
         let ledger = state.endpoints.ledger();
-        for tag in digest.suspects {
+        for tag in report.suspects {
             ledger.report_suspect(now, from, EngineTag(tag));
         }
-        for tag in digest.reads {
+        for tag in report.local_prefills {
             ledger.report_local_prefill(now, EngineTag(tag));
         }
-        if ledger.update(now, from, (digest.life, digest.sequence), in_flight) {
-            self.newcomer = Some(now);
+        if ledger.update(now, from, (report.incarnation, report.sequence), in_flight) {
+            self.new_peer_at = Some(now);
         }
         ledger.set_gossip_interval(from, next);
         drop(state);
         if is_new {
-            rates::told(&self.node, from, digest.life, digest.rates);
+            rates::merge_reports(&self.node, from, report.incarnation, report.rates);
         }
     }
 
@@ -240,17 +247,18 @@
             if self.node.state.borrow_mut().quarantine.merge_crash(now, crash) {
                 log_quarantine(&self.node, crash.request);
             }
-            crashes::told(&self.node, crash);
+            crashes::merge_crash(&self.node, crash);
         }
     }
 
-    /// Tells those whose turn it is. Says whether some of it is told for seconds only.
+    /// Sends reports to the peers that are due. Returns whether a report contains entries that are sent for
+    /// seconds only.
     async fn send(&mut self, socket: &UdpSocket) -> bool {
         let now = self.node.now();
         for address in self.peers.remove_unresponsive(now) {
             info!(self.node.log, "peer"; "address" => %address, "state" => "forgotten");
         }
-        self.node.peers.set(self.peers.len());
+        self.node.peer_count.set(self.peers.len());
         {
             let state = &mut *self.node.state.borrow_mut();
             let instances = self.peers.len() + 1;
@@ -260,72 +268,73 @@
                 rates.share_among(now, instances, self.peers.reachable_share(now));
             }
         }
-        self.catalog.peers_are(self.own, &self.peers.responsive_in_domain(now).collect());
+        self.catalog.set_domain_peers(self.own, &self.peers.responsive_in_domain(now).collect());
         self.sequence += 1;
         let mut targets = self.peers.due(now);
-        let newcomers = self.newcomer.is_some_and(|at| now.duration_since(at) < NEWCOMER);
+        let has_new_peer = self.new_peer_at.is_some_and(|at| now.duration_since(at) < NEW_PEER_WINDOW);
         let uptime = self.node.clock.uptime();
         let leaving = self.node.phase() > Phase::Serving;
-        let (in_flight, suspects, reads, news, spending, instances) = {
+        let (in_flight, suspects, local_prefills, crash_update, spending, instances) = {
             let state = &mut *self.node.state.borrow_mut();
             let in_flight = state.endpoints.in_flight().into_iter().map(|(tag, t)| (tag.0, t)).collect();
             let suspects = state.endpoints.suspects(now).into_iter().map(|tag| tag.0).collect();
-            let reads = state.endpoints.local_prefills().into_iter().map(|tag| tag.0).collect();
-            let news = state.quarantine.update(now, newcomers);
+            let local_prefills = state.endpoints.local_prefills().into_iter().map(|tag| tag.0).collect();
+            let crash_update = state.quarantine.update(now, has_new_peer);
             let spending = state.quotas.team_spending(uptime);
             let instances = state.quotas.known_instances();
-            (in_flight, suspects, reads, news, spending, instances)
+            (in_flight, suspects, local_prefills, crash_update, spending, instances)
         };
-        // A seed that is not heard may be back.
-        let asks = self.node.state.borrow_mut().rng.random_bool(0.2);
-        let unheard = self.seeds.iter().filter(|s| **s != self.own && !self.peers.contains(**s));
-        targets.extend(unheard.filter(|_| asks || self.peers.is_empty()));
-        let Self { life, sequence, .. } = *self;
-        let crashes: Vec<_> = news.crashes.into_iter().map(|crash| CrashReport::new(now, crash)).collect();
-        let served = news.served;
-        let rates = rates::news(&self.node);
+        // An unresponsive seed may be reachable again.
+        let contact_seeds = self.node.state.borrow_mut().rng.random_bool(0.2);
+        let unresponsive_seeds = self.seeds.iter().filter(|s| **s != self.own && !self.peers.contains(**s));
+        targets.extend(unresponsive_seeds.filter(|_| contact_seeds || self.peers.is_empty()));
+        let Self { incarnation, sequence, .. } = *self;
+        let crashes: Vec<_> =
+            crash_update.crashes.into_iter().map(|crash| CrashReport::new(now, crash)).collect();
+        let served = crash_update.served;
+        let rates = rates::reports(&self.node);
         let urgent = !crashes.is_empty() || !served.is_empty() || !rates.is_empty();
-        let digest = Digest {
-            life,
+        let report = Report {
+            incarnation,
             sequence,
             in_flight,
             suspects,
-            reads,
+            local_prefills,
             crashes,
             served,
             spending,
             rates,
             instances,
             leaving,
-            holds: self.catalog.holds(),
+            snapshot_revision: self.catalog.snapshot_revision(),
         };
-        self.send_to(socket, targets, Content::Digest(digest)).await;
+        self.send_to(socket, targets, Content::Report(report)).await;
         urgent
     }
 
-    /// Tells peers of the same failure domain what the store answered.
-    async fn tell(&self, socket: &UdpSocket, telling: Telling) {
+    /// Sends a store update to the peers of the same failure domain.
+    async fn send_update(&self, socket: &UdpSocket, update: StoreUpdate) {
         let targets = self.peers.responsive_in_domain(self.node.now()).collect();
-        self.send_to(socket, targets, Content::Telling(telling)).await;
+        self.send_to(socket, targets, Content::StoreUpdate(update)).await;
     }
 
     async fn send_to(&self, socket: &UdpSocket, targets: Vec<SocketAddr>, content: Content) {
-        let is_digest = matches!(content, Content::Digest(_));
+        let is_report = matches!(content, Content::Report(_));
         let datagram = Datagram { version: VERSION, domain: self.domain, content };
         let Ok(data) = postcard::to_allocvec(&datagram) else { return };
-        let mut whole = HashMap::new();
+        let mut encoded = HashMap::new();
         for peer in targets {
             let domain = self.peers.domain_of(peer);
-            let data = whole.entry(domain).or_insert_with(|| {
-                let tail = if is_digest { self.tail(domain) } else { Tail::default() };
+            let data = encoded.entry(domain).or_insert_with(|| {
+                let tail = if is_report { self.tail(domain) } else { Tail::default() };
                 postcard::to_extend(&tail, data.clone()).unwrap_or_default()
             });
-            // A datagram that cannot be sent is as good as lost.
+            // A datagram that cannot be sent is treated like a lost one.
             let _ = socket.send_to(data, peer).await;
         }
     }
 
-    /// What only the peers of a failure domain are told.
+    /// Trailer for the peers of one failure domain.
     fn tail(&self, domain: Option<u32>) -> Tail {
         let rng = &mut self.node.state.borrow_mut().rng;
         let named = self.peers.sample_for(self.node.now(), domain, rng);
--- a/crates/forward/src/headers.rs
+++ b/crates/forward/src/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that concern one connection only.
+//! Removes hop-by-hop headers.
 
 use hyper::header::{CONNECTION, HeaderMap, HeaderName};
 
-/// Headers that are never passed on (RFC 9110, section 7.6.1), and the length, which is set anew.
-const HOP: [&str; 8] = [
+/// Headers that are never forwarded (RFC 9110, section 7.6.1), and the length, which is set again.
+const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -14,7 +14,7 @@
     "upgrade",
 ];
 
-/// Removes what concerns the connection that a message came on.
+/// Removes the headers that apply only to the connection on which a message arrived.
 pub(crate) fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -27,7 +27,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in HOP {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,22 +1,25 @@
-//! Passes callers' requests on whole, to plain services and to prefill and decode engines, on a platform that is met
-//! through a [`Protocol`].
+//! Forwards callers' requests to plain services and to prefill and decode engines. A [`Protocol`] connects
+//! this crate to a platform.
 //!
-//! Modules look down only: `supervisor` starts `listeners`, `catalog` (what the platform's store says) and
-//! `orders`; the first two accept by `accept`. `listeners` hands requests to `requests`, which calls `plain` or `generate`
-//! (with `reservations`); both use `rates` (what endpoints say that they take), `stream`, `body` with `buffering` (what slow readers
-//! have not read), `node` (state, one step at an endpoint) and `connection_pool`. Decisions without input or output are
-//! in the crate `teaselshunt-routing`.
+//! Modules depend only on modules below them. `supervisor` starts `listeners`, `catalog` (the contents of the
+//! platform's store) and `orders`; the first two accept connections through `accept`. `listeners` hands
+//! requests to `requests`, which calls `plain` or `generate` (with `reservations`). Both use `rates` (rate
+//! limits that endpoints advertise), `stream`, `body` with `buffering` (bytes that slow callers have not
+//! read), `node` (state, one step at an endpoint) and `connection_pool`. Decisions without input or output
+//! are in the crate `teaselshunt-routing`.
 //!
-//! Both edges of traffic are `hyper` itself. A framework above it ends a failed stream as if it were whole and hides
-//! whether a request has left, and the promises to callers rest on both.
+//! Connections of callers and of endpoints use `hyper` directly. A framework above it ends a failed stream as
+//! if the stream were complete and hides whether a request has left the process; the guarantees to callers
+//! depend on both.
 //!
 //! Invariants:
-//! - an answer is passed on as whole only if its endpoint has ended it;
-//! - a refusal that says "not run" is only given to a request that no endpoint can have begun;
-//! - a request that may run once is sent again only after its endpoint has stated that it did not run it, or if
-//!   nothing of it had left;
-//! - everything taken at an endpoint (a slot in the account, reserved room, a KV cache) is an object whose drop gives
-//!   it back, so that a caller who leaves at any step leaves nothing behind.
+//! - a response is relayed as complete only if its endpoint has ended it;
+//! - a refusal with "not run" goes only to a request that no endpoint can have started;
+//! - a non-idempotent request is sent again only after its endpoint has stated that it did not run the
+//!   request, or if no byte of the request left the process;
+//! - everything acquired at an endpoint (accounted in-flight work, reserved capacity, a KV cache) is an
+//!   object that releases it when dropped, so that a caller that disconnects at any step leaves nothing
+//!   behind.
 
 mod accept;
 mod admission;
--- a/crates/forward/src/listeners.rs
+++ b/crates/forward/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers, readiness, metrics.
+//! Listeners for callers, the readiness check and metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,20 +17,21 @@
 use tokio::sync::watch;
 
 use crate::accept::accept;
-use crate::body::Unread;
+use crate::body::ReadDeadline;
 use crate::node::{Node, Phase};
 use crate::requests;
 
-/// Idle time of callers' connections before any version is known.
-const IDLE: Duration = Duration::from_secs(15);
-/// Added to the configured idle time, so that a caller that uses nearly all of it meets an open connection.
-const IDLE_SLACK: Duration = Duration::from_secs(1);
-/// Time that a caller has for its request if it connects while the instance closes idle connections.
-const LATE: Duration = Duration::from_millis(500);
-/// Largest head that is read, in bytes, before any version is known; also the least that the library allows.
-const HEAD: usize = 16 * 1024;
+/// Idle timeout of callers' connections before a configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Added to the configured idle timeout, so that a caller that uses nearly all of it finds its connection
+/// open.
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_secs(1);
+/// Time in which a caller must send its request if it connects while the instance closes idle connections.
+const LATE_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest request head in bytes before a configuration is known; also the least that the library allows.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
 
-/// Accepts callers for as long as the process runs.
+/// Accepts callers until the process ends.
 pub(crate) async fn callers(node: Rc<Node>, listener: TcpListener) {
     loop {
         let stream = accept(&node, &listener).await;
@@ -39,25 +40,27 @@
 }
 
 async fn connection(node: Rc<Node>, stream: TcpStream) {
-    // Events of a stream go out as they come; a failure only costs latency.
+    // Sends events of a stream without delay; a failure only costs latency.
     let _ = stream.set_nodelay(true);
     let (idle, head) = {
         let state = node.state.borrow();
         let limits = state.routes.as_ref().map(|r| r.limits);
-        limits.map_or((IDLE, HEAD), |l| (l.idle + IDLE_SLACK, l.head.max(HEAD)))
+        limits.map_or((DEFAULT_IDLE_TIMEOUT, DEFAULT_HEAD_BYTES), |l| {
+            (l.idle + IDLE_TIMEOUT_SLACK, l.head.max(DEFAULT_HEAD_BYTES))
+        })
     };
-    // Who comes this late gets one answer, which announces the end of the connection.
+    // A caller that connects this late gets one response, which announces that the connection closes.
     let late = node.phase() >= Phase::Closing;
-    let idle = if late { LATE } else { idle };
-    let unread = Rc::new(Unread::default());
-    let service = service_fn(|request| requests::serve(Rc::clone(&node), request, Rc::clone(&unread)));
+    let idle = if late { LATE_REQUEST_TIMEOUT } else { idle };
+    let read_deadline = Rc::new(ReadDeadline::default());
+    let service = service_fn(|request| requests::serve(Rc::clone(&node), request, Rc::clone(&read_deadline)));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
         .max_buf_size(head * 2)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let closing = closing(node.phase.subscribe());
+    let closing = wait_for_closing(node.phase.subscribe());
     node.connections.set(node.connections.get() + 1);
     let served = async {
         tokio::select! {
@@ -70,82 +73,82 @@
     };
     let result = tokio::select! {
         result = served => Some(result),
-        () = unread.overdue() => None,
+        () = read_deadline.overdue() => None,
     };
     node.connections.set(node.connections.get() - 1);
     match result {
         Some(Ok(())) => {}
-        Some(Err(error)) => debug!(node.log, "caller's connection"; "error" => %error),
+        Some(Err(error)) => debug!(node.log, "caller's connection failed"; "error" => %error),
         None => info!(node.log, "caller's connection closed"; "cause" => "its answer was not read"),
     }
 }
 
 /// Waits until idle connections are to be closed.
 ///
-/// A function of its own because what `wait_for` gives back holds a lock on the phase. Kept while a connection ends, it
-/// blocked the whole process at the next change of phase: streams in progress froze until the process was killed.
-async fn closing(mut phase: watch::Receiver<Phase>) {
-    // An error means that the process is ending, which closes connections as well.
+/// This is a separate function because the return value of `wait_for` holds a lock on the phase. When the
+/// lock was held while a connection ended, it blocked the whole process at the next change of phase: streams
+/// in progress froze until the process was killed.
+async fn wait_for_closing(mut phase: watch::Receiver<Phase>) {
+    // An error means that the process is ending, which also closes connections.
     let _ = phase.wait_for(|p| *p >= Phase::Closing).await;
 }
 
-/// Answers the balancer's question for readiness.
+/// Serves the readiness check of the balancer.
 pub(crate) async fn readiness(node: Rc<Node>, listener: TcpListener) {
-    serve(Rc::clone(&node), listener, move |request| {
+    serve_internal(Rc::clone(&node), listener, move |request| {
         if !node.protocol.is_ready_path(request.uri().path()) {
-            return page(StatusCode::NOT_FOUND, Bytes::new());
+            return plain_response(StatusCode::NOT_FOUND, Bytes::new());
         }
         let status = if node.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        page(status, Bytes::new())
+        plain_response(status, Bytes::new())
     })
     .await;
 }
 
-/// Serves metrics.
 pub(crate) async fn metrics(node: Rc<Node>, address: SocketAddr) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            // Callers are served without metrics rather than not at all.
-            warn!(node.log, "no metrics"; "address" => %address, "error" => %error);
+            // Without metrics the instance still serves callers.
+            warn!(node.log, "cannot listen for metrics"; "address" => %address, "error" => %error);
             return;
         }
     };
-    serve(Rc::clone(&node), listener, move |_| {
-        node.metrics.held.set(node.state.borrow().memory.held() as i64);
+    serve_internal(Rc::clone(&node), listener, move |_| {
+        node.metrics.buffered_bytes.set(node.state.borrow().memory.held() as i64);
         match node.metrics.render() {
-            Ok(text) => page(StatusCode::OK, Bytes::from(text)),
-            Err(error) => page(StatusCode::INTERNAL_SERVER_ERROR, Bytes::from(error.to_string())),
+            Ok(text) => plain_response(StatusCode::OK, Bytes::from(text)),
+            Err(error) => plain_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::from(error.to_string())),
         }
     })
     .await;
 }
 
-fn page(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
+fn plain_response(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response
 }
 
-async fn serve(
+async fn serve_internal(
     node: Rc<Node>,
     listener: TcpListener,
-    answer: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Clone + 'static,
+    respond: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Clone + 'static,
 ) {
     loop {
         let stream = accept(&node, &listener).await;
-        let (node, answer) = (Rc::clone(&node), answer.clone());
+        let (node, respond) = (Rc::clone(&node), respond.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| {
-                let response = answer(&request);
+                let response = respond(&request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
+                .header_read_timeout(DEFAULT_IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                debug!(node.log, "operator's connection"; "error" => %error);
+                debug!(node.log, "readiness or metrics connection failed"; "error" => %error);
             }
         });
     }
--- a/crates/forward/src/logs.rs
+++ b/crates/forward/src/logs.rs
@@ -1,19 +1,20 @@
-//! Logs: one JSON line a decision, on standard output.
+//! Logs: one JSON line for each decision, on standard output.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the queue is full lines are dropped, and the
-//! number of dropped lines is logged; traffic never waits for a reader of logs. Where the reader has gone, lines are lost
-//! and nothing else: a process that ended with its log would take its callers' streams along.
+//! Lines go through a bounded queue to a thread that writes them. If the queue is full lines are dropped, and
+//! the number of dropped lines is logged; traffic never waits for the reader of the logs. If the reader ends,
+//! lines are lost and nothing else: a process that exited with its log reader would break its callers'
+//! streams.
 
 use slog::{Drain, Logger, o};
 
-/// Lines that may wait; some seconds of a busy instance.
-const QUEUE: usize = 1024;
+/// Lines that may wait; a busy instance writes these in some seconds.
+const QUEUE_LINES: usize = 1024;
 
-/// Starts the log of an instance.
+/// Creates the logger of an instance.
 pub(crate) fn start(instance: &str, domain: &str) -> Logger {
     let lines = slog_json::Json::new(std::io::stdout()).set_newlines(true).add_default_keys().build();
     let queue = slog_async::Async::new(lines.ignore_res())
-        .chan_size(QUEUE)
+        .chan_size(QUEUE_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build()
         .ignore_res();
--- a/crates/forward/src/metrics.rs
+++ b/crates/forward/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms in the Prometheus format; docs/OPERATIONS.md lists them.
+//! Counters, gauges and latency histograms in the Prometheus format; docs/OPERATIONS.md lists them.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -8,33 +8,34 @@
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds of the buckets, in seconds: from a plain service's usual answer to the longest deadline.
+/// Upper bounds of the buckets, in seconds: from a plain service's usual response time to the longest
+/// deadline.
 const BUCKETS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 7.0, 14.0];
 
-/// Everything that an instance counts.
+/// Metrics of an instance.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    pub(crate) first: HistogramVec,
-    pub(crate) whole: HistogramVec,
+    pub(crate) time_to_head: HistogramVec,
+    pub(crate) time_to_end: HistogramVec,
     pub(crate) outcomes: IntCounterVec,
     pub(crate) steps: IntCounterVec,
-    pub(crate) store: IntCounterVec,
-    pub(crate) version: IntGauge,
+    pub(crate) store_calls: IntCounterVec,
+    pub(crate) active_version: IntGauge,
     pub(crate) endpoints: IntGauge,
     pub(crate) running: IntGauge,
-    pub(crate) held: IntGauge,
-    pub(crate) limited: IntGauge,
+    pub(crate) buffered_bytes: IntGauge,
+    pub(crate) limited_endpoints: IntGauge,
     pub(crate) limit_refusals: IntCounterVec,
-    teams: IntCounterVec,
+    team_requests: IntCounterVec,
     /// Teams that have a label of their own.
-    labelled: RefCell<HashSet<String>>,
+    labelled_teams: RefCell<HashSet<String>>,
 }
 
-/// Most teams that have a label of their own; all others share [`OTHER_TEAMS`]. Each label costs some series for as long
-/// as the process runs.
+/// Most teams that have a label of their own; all others share [`OTHER_TEAMS`]. Each label costs several time
+/// series for as long as the process runs.
 const TEAM_LABELS: usize = 64;
-/// Label of the teams that have none of their own.
+/// Label of the teams without a label of their own.
 const OTHER_TEAMS: &str = "(others)";
 
 impl Metrics {
@@ -59,59 +60,66 @@
             Ok::<_, prometheus::Error>(metric)
         };
         Ok(Self {
-            first: histogram("first_seconds", "From arrival to the head of the answer.")?,
-            whole: histogram("whole_seconds", "From arrival to the end of the answer.")?,
+            time_to_head: histogram("first_seconds", "From arrival to the head of the answer.")?,
+            time_to_end: histogram("whole_seconds", "From arrival to the end of the answer.")?,
             outcomes: counter("requests_total", "Requests by how they ended.", &["kind", "outcome"])?,
             steps: counter("steps_total", "Steps at endpoints by how they ended.", &["step", "outcome"])?,
-            store: counter("store_calls_total", "Calls to the platform's store.", &["call", "outcome"])?,
-            version: gauge("configuration_version", "Configuration version in force.")?,
+            store_calls: counter(
+                "store_calls_total",
+                "Calls to the platform's store.",
+                &["call", "outcome"],
+            )?,
+            active_version: gauge("configuration_version", "Configuration version in force.")?,
             endpoints: gauge("endpoints", "Endpoints listed.")?,
             running: gauge("requests_in_progress", "Requests in progress.")?,
-            held: gauge("held_bytes", "Bodies held for callers and endpoints that have not read them.")?,
-            limited: gauge("limited_endpoints", "Endpoints that name a rate they take.")?,
+            buffered_bytes: gauge(
+                "held_bytes",
+                "Bodies held for callers and endpoints that have not read them.",
+            )?,
+            limited_endpoints: gauge("limited_endpoints", "Endpoints that name a rate they take.")?,
             limit_refusals: counter(
                 "limit_refusals_total",
                 "Requests refused because all endpoints name rates.",
                 &["service"],
             )?,
-            teams: counter(
+            team_requests: counter(
                 "team_requests_total",
                 "Requests of teams by how they ended.",
                 &["team", "outcome"],
             )?,
-            labelled: RefCell::default(),
+            labelled_teams: RefCell::default(),
             registry,
         })
     }
 
-    /// The metrics as text.
+    /// Renders the metrics in the text format.
     ///
     /// # Errors
-    /// A metric cannot be written as text.
+    /// A metric cannot be encoded.
     pub(crate) fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 
-    pub(crate) fn step(&self, step: &str, outcome: &str) {
+    pub(crate) fn count_step(&self, step: &str, outcome: &str) {
         self.steps.with_label_values(&[step, outcome]).inc();
     }
 
-    /// A request of a team ended; `team` is empty where the caller has none.
-    pub(crate) fn team(&self, team: &str, outcome: &str) {
+    /// Counts a finished request of a team; `team` is empty for a caller without a team.
+    pub(crate) fn count_team_request(&self, team: &str, outcome: &str) {
         if team.is_empty() {
             return;
         }
-        let mut labelled = self.labelled.borrow_mut();
-        let own =
-            labelled.contains(team) || (labelled.len() < TEAM_LABELS && labelled.insert(team.to_owned()));
-        let label = if own { team } else { OTHER_TEAMS };
-        self.teams.with_label_values(&[label, outcome]).inc();
+        let mut labelled_teams = self.labelled_teams.borrow_mut();
+        let has_label = labelled_teams.contains(team)
+            || (labelled_teams.len() < TEAM_LABELS && labelled_teams.insert(team.to_owned()));
+        let label = if has_label { team } else { OTHER_TEAMS };
+        self.team_requests.with_label_values(&[label, outcome]).inc();
     }
 
-    pub(crate) fn ended(&self, kind: &str, outcome: &str, took: Duration) {
+    pub(crate) fn count_request(&self, kind: &str, outcome: &str, took: Duration) {
         self.outcomes.with_label_values(&[kind, outcome]).inc();
-        self.whole.with_label_values(&[kind]).observe(took.as_secs_f64());
+        self.time_to_end.with_label_values(&[kind]).observe(took.as_secs_f64());
     }
 }
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -1,7 +1,7 @@
-//! The state of an instance, and single steps at endpoints.
+//! State of an instance, and single steps at endpoints.
 //!
-//! All of it lives on one thread. A machine gives an instance a fraction of one core, so that a second thread would
-//! add switches and locks but no work done.
+//! All state lives on one thread. A machine gives an instance a fraction of one core, so that a second thread
+//! would add context switches and locks but no throughput.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -28,56 +28,57 @@
 
 use crate::admission::Charge;
 use crate::buffering::{BufferedBytes, CollectError};
-use crate::connection_pool::{Connection, ConnectionPool, Failure};
-use crate::crashes::{Abandoned, Loss};
+use crate::connection_pool::{Connection, ConnectionPool, ExchangeFailure};
+use crate::crashes::{AbandonedRuns, Loss};
 use crate::metrics::Metrics;
 use crate::protocol::{Call, Protocol, Purpose, RequestMeta, ResponseMeta};
 use crate::rates;
 use crate::settings::Settings;
 
-/// How far a planned stop has come.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// No stop has begun.
+    /// No shutdown has begun.
     Serving,
-    /// The balancer is told to send nobody; who comes all the same is served.
+    /// The readiness check fails, so that the balancer sends no new callers; callers that connect anyway are
+    /// served.
     Leaving,
-    /// Idle connections are closed; requests in progress end.
+    /// Idle connections are closed; requests in progress finish.
     Closing,
-    /// New requests that may take seconds are refused; short ones are served.
+    /// New requests that may take seconds are refused; short requests are served.
     Refusing,
     /// All new requests are refused.
     Ending,
 }
 
-/// What is believed and what is spent.
+/// Mutable state: what the instance knows of endpoints and of load, its budgets and its accounts.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) routes: Option<Arc<RouteSet>>,
     pub(crate) endpoints: Endpoints,
     pub(crate) budgets: Budgets,
     pub(crate) rng: SmallRng,
-    /// Pace of prefill by service.
-    pub(crate) paces: HashMap<Arc<str>, PrefillEstimate>,
-    /// Outputs of generations by service.
-    pub(crate) outputs: HashMap<Arc<str>, OutputEstimate>,
-    /// How long callers of each route wait in all.
-    pub(crate) allowances: RetryDetector,
-    /// Refusals for want of what endpoints take.
-    pub(crate) refused: Refusals,
-    /// Requests under which endpoints crash.
+    /// Prefill time estimates by service.
+    pub(crate) prefill_estimates: HashMap<Arc<str>, PrefillEstimate>,
+    /// Output estimates of generations by service.
+    pub(crate) output_estimates: HashMap<Arc<str>, OutputEstimate>,
+    /// Longest deadlines by route, from which a caller's retry is recognized.
+    pub(crate) retry_detector: RetryDetector,
+    /// Recent refusals because all endpoints are rate-limited.
+    pub(crate) refusals: Refusals,
+    /// Requests under which endpoints crashed.
     pub(crate) quarantine: Quarantine,
-    /// Limits of teams.
+    /// Rate limits of teams.
     pub(crate) quotas: Quotas<SocketAddr>,
-    /// Bodies that are held for slow readers.
+    /// Memory for buffered bodies.
     pub(crate) memory: BodyMemory,
-    /// Whether the whole list was known once.
-    pub(crate) whole: bool,
-    /// When the store last answered about endpoints.
-    pub(crate) listed: Option<Instant>,
+    /// Whether the complete list of endpoints has been known at some time.
+    pub(crate) list_complete: bool,
+    /// When the store last confirmed the list of endpoints, directly or through a peer.
+    pub(crate) list_confirmed: Option<Instant>,
 }
 
-/// One instance.
+/// An instance: its settings, state, connections and metrics.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Settings,
@@ -88,18 +89,18 @@
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
     pub(crate) phase: watch::Sender<Phase>,
-    /// Wakes whoever tells other instances what is in flight.
-    pub(crate) changed: Notify,
-    /// Other instances that are known.
-    pub(crate) peers: Cell<usize>,
+    /// Wakes the gossip task after a change of the state that peers are sent.
+    pub(crate) gossip_wakeup: Notify,
+    /// Number of known other instances.
+    pub(crate) peer_count: Cell<usize>,
     /// Open connections of callers.
     pub(crate) connections: Cell<usize>,
-    /// Requests that endpoints lost, until it is known whether these have crashed.
+    /// Requests that endpoints lost, until it is known whether the endpoints have crashed.
     pub(crate) losses: RefCell<HashMap<EndpointKey, Vec<Loss>>>,
-    /// Runs whose callers left a moment ago.
-    pub(crate) abandoned: RefCell<Abandoned>,
-    /// When a rate that cannot be read was reported last.
-    pub(crate) warned: Cell<Option<Instant>>,
+    /// Runs whose callers disconnected recently.
+    pub(crate) abandoned: RefCell<AbandonedRuns>,
+    /// When an invalid rate limit was last logged.
+    pub(crate) rate_warned: Cell<Option<Instant>>,
 }
 
 /// A caller's request with everything that its steps need.
@@ -107,24 +108,24 @@
 pub(crate) struct Job {
     pub(crate) meta: RequestMeta,
     pub(crate) method: Method,
-    /// Path and query as the caller wrote them.
+    /// Path and query as the caller sent them.
     pub(crate) path: String,
-    /// Without hop-by-hop headers.
+    /// Headers without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Room for the body, until the request has ended.
-    pub(crate) _holding: BufferedBytes,
+    /// Buffer memory of the body, held until the request has ended.
+    pub(crate) _buffered: BufferedBytes,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
-    /// The caller's, where callers have keys.
+    /// The caller's team; `None` for a caller without a valid key.
     pub(crate) team: Option<Arc<Team>>,
     pub(crate) charge: Charge,
     pub(crate) arrived: Instant,
-    /// Whether the caller was refused before and comes back; its answer is late whatever happens.
-    pub(crate) returns: bool,
-    /// When the caller, or the route's timeout, stops waiting.
-    pub(crate) until: Instant,
-    /// By what it is known if it comes again; worked out when it is needed.
+    /// Whether the request is a retry after a refusal. Its response is late in any case.
+    pub(crate) is_retry: bool,
+    /// When the caller's deadline or the route's timeout ends.
+    pub(crate) deadline: Instant,
+    /// Identifies the request if it is sent again; computed on first use.
     pub(crate) fingerprint: OnceCell<Fingerprint>,
 }
 
@@ -133,7 +134,7 @@
         self.team.as_ref().map(|team| &*team.name)
     }
 
-    /// By what it is known if it comes again.
+    /// Identifies the request if it is sent again.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
@@ -148,33 +149,33 @@
     }
 }
 
-/// An endpoint's answer whose body is still to be read.
+/// An endpoint's response whose body is not read yet.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
     pub(crate) endpoint: EndpointKey,
-    /// When the request was sent there.
-    pub(crate) begun: Instant,
+    /// When the request was sent to the endpoint.
+    pub(crate) sent_at: Instant,
 }
 
-/// How a step failed.
+/// Why a step failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StepFailure {
     /// Nothing reached the endpoint.
     Unsent,
     /// The endpoint states that it has not run the request and will not.
     Refused,
-    /// Another endpoint has the address, or the endpoint does another part now; the request has not run.
+    /// Another endpoint has the address, or the endpoint now has another stage. The request has not run.
     Misdirected,
-    /// It may have run.
+    /// The request may have run.
     Broken,
-    /// It may have run, and may still.
+    /// The request may have run and may still be running.
     TimedOut,
 }
 
 impl StepFailure {
-    /// Whether the endpoint may have begun to run the request.
+    /// Whether the endpoint may have started the request.
     pub(crate) const fn may_have_run(self) -> bool {
         matches!(self, Self::Broken | Self::TimedOut)
     }
@@ -190,28 +191,28 @@
     }
 }
 
-impl From<Failure> for StepFailure {
-    fn from(failure: Failure) -> Self {
+impl From<ExchangeFailure> for StepFailure {
+    fn from(failure: ExchangeFailure) -> Self {
         match failure {
-            Failure::Unsent => Self::Unsent,
-            Failure::Broken => Self::Broken,
-            Failure::TimedOut => Self::TimedOut,
+            ExchangeFailure::Unsent => Self::Unsent,
+            ExchangeFailure::Broken => Self::Broken,
+            ExchangeFailure::TimedOut => Self::TimedOut,
         }
     }
 }
 
-/// Work of this instance at an endpoint, for which one request is sent there; dropping it ends the account of it.
+/// Accounting of one request's work at an endpoint. Dropping it removes the work from the account.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct InFlightWork {
     node: Rc<Node>,
     endpoint: EndpointKey,
     tokens: u64,
-    /// Whether the request may have reached the endpoint. Until then it is given back to the endpoint's rate.
+    /// Whether the request may have reached the endpoint. Until then dropping it also refunds the endpoint's
+    /// rate limit.
     sent: Cell<bool>,
 }
 
-impl Slot {
-    /// The endpoint.
+impl InFlightWork {
     pub(crate) const fn endpoint(&self) -> EndpointKey {
         self.endpoint
     }
@@ -221,18 +222,18 @@
         self.tokens
     }
 
-    /// The work takes `tokens` in all, if that is more than was thought.
+    /// Raises the accounted tokens to `tokens` in total, if that is more than so far.
     pub(crate) fn grow(&mut self, tokens: u64) {
         let more = tokens.saturating_sub(self.tokens);
         if more > 0 {
             self.node.state.borrow_mut().endpoints.add_tokens(self.endpoint, more);
             self.tokens = tokens;
-            self.node.changed.notify_one();
+            self.node.gossip_wakeup.notify_one();
         }
     }
 }
 
-impl Drop for Slot {
+impl Drop for InFlightWork {
     fn drop(&mut self) {
         let now = self.node.now();
         let endpoints = &mut self.node.state.borrow_mut().endpoints;
@@ -240,21 +241,21 @@
         if !self.sent.get() {
             endpoints.refund_rate(now, self.endpoint);
         }
-        self.node.changed.notify_one();
+        self.node.gossip_wakeup.notify_one();
     }
 }
 
-/// A prompt that a decode engine reads itself; dropped when it has.
+/// A local prefill that is in progress at a decode engine. Dropping it ends the local prefill in the account.
 #[derive(Debug)]
-pub(crate) struct Reading {
+pub(crate) struct LocalPrefill {
     node: Rc<Node>,
     endpoint: EndpointKey,
 }
 
-impl Drop for Reading {
+impl Drop for LocalPrefill {
     fn drop(&mut self) {
         self.node.state.borrow_mut().endpoints.end_local_prefill(self.endpoint);
-        self.node.changed.notify_one();
+        self.node.gossip_wakeup.notify_one();
     }
 }
 
@@ -267,28 +268,28 @@
         *self.phase.borrow()
     }
 
-    /// Ready once routes and endpoints are known, until a stop begins. Losing the store later changes nothing: what
-    /// is known still serves callers better than no instance at all.
+    /// Whether the instance is ready: routes and endpoints are known and no shutdown has begun. Loss of the
+    /// store later does not end readiness, since an instance with old state serves callers better than none.
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.state.borrow();
-        state.routes.is_some() && state.listed.is_some() && self.phase() == Phase::Serving
+        state.routes.is_some() && state.list_confirmed.is_some() && self.phase() == Phase::Serving
     }
 
     /// Age of the list of endpoints, for logs.
     pub(crate) fn list_age(&self) -> Option<Duration> {
-        self.state.borrow().listed.map(|at| self.now().duration_since(at))
+        self.state.borrow().list_confirmed.map(|at| self.now().duration_since(at))
     }
 
     pub(crate) fn choose(&self, service: &str, tried: &[EndpointKey]) -> Option<EndpointKey> {
         self.choose_for(Need { tried, ..self.need(service) })
     }
 
-    /// A need of an instance here that has no wishes yet.
+    /// Requirements of a request for `service` from this instance's domain, without any options.
     pub(crate) fn need<'a>(&'a self, service: &'a str) -> Need<'a> {
         Need::of(service, &self.settings.domain)
     }
 
-    /// Chooses the engine that reads a prompt of so many tokens.
+    /// Chooses the engine that prefills a prompt of `tokens` tokens.
     pub(crate) fn choose_prefill(
         &self,
         service: &str,
@@ -299,24 +300,24 @@
     }
 
     pub(crate) fn choose_for(&self, need: Need<'_>) -> Option<EndpointKey> {
-        let beliefs = &mut *self.state.borrow_mut();
-        beliefs.endpoints.choose(self.now(), need, &mut beliefs.rng)
+        let state = &mut *self.state.borrow_mut();
+        state.endpoints.choose(self.now(), need, &mut state.rng)
     }
 
-    /// Work that is about to be sent to an endpoint begins.
-    pub(crate) fn occupy(self: &Rc<Self>, endpoint: EndpointKey, tokens: u64) -> Slot {
+    /// Begins to account for work that is about to be sent to an endpoint.
+    pub(crate) fn begin_work(self: &Rc<Self>, endpoint: EndpointKey, tokens: u64) -> InFlightWork {
         let (now, endpoints) = (self.now(), &mut self.state.borrow_mut().endpoints);
         endpoints.begin(now, endpoint, tokens);
         endpoints.charge_rate(now, endpoint);
-        self.changed.notify_one();
-        Slot { node: Rc::clone(self), endpoint, tokens, sent: Cell::new(false) }
+        self.gossip_wakeup.notify_one();
+        InFlightWork { node: Rc::clone(self), endpoint, tokens, sent: Cell::new(false) }
     }
 
-    /// A decode engine begins to read a prompt itself; others are told until the guard is dropped.
-    pub(crate) fn read_at(self: &Rc<Self>, endpoint: EndpointKey) -> Reading {
+    /// Records that a decode engine begins a local prefill. Peers are sent this until the guard is dropped.
+    pub(crate) fn begin_local_prefill(self: &Rc<Self>, endpoint: EndpointKey) -> LocalPrefill {
         self.state.borrow_mut().endpoints.begin_local_prefill(endpoint);
-        self.changed.notify_one();
-        Reading { node: Rc::clone(self), endpoint }
+        self.gossip_wakeup.notify_one();
+        LocalPrefill { node: Rc::clone(self), endpoint }
     }
 
     /// Address and id of an endpoint that is still listed.
@@ -326,40 +327,41 @@
     }
 
     /// Id of an endpoint, for logs.
-    pub(crate) fn name(&self, key: EndpointKey) -> Arc<str> {
+    pub(crate) fn id_for_log(&self, key: EndpointKey) -> Arc<str> {
         self.locate(key).map_or_else(|| "gone".into(), |(_, id)| id)
     }
 
-    /// Address and id of an endpoint that still takes new work.
+    /// Address and id of an endpoint that still accepts new work.
     fn locate_open(&self, key: EndpointKey) -> Option<(SocketAddr, Arc<str>)> {
         let state = self.state.borrow();
         state.endpoints.get_open(self.now(), key).map(|e| (e.address, Arc::clone(&e.id)))
     }
 
-    /// Tokens that a generation is expected to make.
+    /// Number of tokens that a generation is expected to produce.
     pub(crate) fn expected_output(&self, job: &Job) -> u64 {
         let Some(hint) = job.meta.output_hint else { return job.meta.max_output_tokens };
         let state = self.state.borrow();
-        let expected = state.outputs.get(&job.service.name).map_or(hint, |outputs| outputs.predict(hint));
+        let expected =
+            state.output_estimates.get(&job.service.name).map_or(hint, |estimate| estimate.predict(hint));
         expected.min(job.meta.max_output_tokens)
     }
 
-    /// A generation ended whole after so many events.
-    pub(crate) fn learn_output(&self, job: &Job, events: u32) {
+    /// Updates the service's output estimate with a generation that completed after `events` events.
+    pub(crate) fn observe_output(&self, job: &Job, events: u32) {
         let Some(hint) = job.meta.output_hint else { return };
-        let outputs = &mut self.state.borrow_mut().outputs;
-        outputs.entry(Arc::clone(&job.service.name)).or_default().learn(hint, events);
+        let output_estimates = &mut self.state.borrow_mut().output_estimates;
+        output_estimates.entry(Arc::clone(&job.service.name)).or_default().learn(hint, events);
     }
 
-    /// Tokens that so many events of a generation stand for, if that is known.
-    pub(crate) fn made(&self, job: &Job, events: u32) -> Option<u64> {
-        self.state.borrow().outputs.get(&job.service.name)?.tokens_for_events(events)
+    /// Number of tokens that `events` events of a generation amount to, if the service's ratio is known.
+    pub(crate) fn tokens_for_events(&self, job: &Job, events: u32) -> Option<u64> {
+        self.state.borrow().output_estimates.get(&job.service.name)?.tokens_for_events(events)
     }
 
-    pub(crate) fn learn(&self, key: EndpointKey, verdict: StepOutcome) {
-        let changed = self.state.borrow_mut().endpoints.learn(self.now(), key, verdict);
+    pub(crate) fn observe_step(&self, key: EndpointKey, step_outcome: StepOutcome) {
+        let changed = self.state.borrow_mut().endpoints.learn(self.now(), key, step_outcome);
         if changed && let Some((_, id)) = self.locate(key) {
-            let state = if matches!(verdict, StepOutcome::Failed | StepOutcome::Unreachable) {
+            let state = if matches!(step_outcome, StepOutcome::Failed | StepOutcome::Unreachable) {
                 "paused"
             } else {
                 "in_use"
@@ -368,7 +370,7 @@
         }
     }
 
-    /// Why a request is not sent to an endpoint, if endpoints crash under it.
+    /// The refusal for a request in quarantine; `None` for other requests.
     pub(crate) fn quarantined(&self, job: &Job) -> Option<Refusal> {
         let (state, now) = (self.state.borrow(), self.now());
         if state.quarantine.is_empty() {
@@ -378,80 +380,87 @@
         Some(Refusal::retryable(ErrorKind::Quarantined, until.duration_since(now)))
     }
 
-    /// A request was answered whole by its endpoint.
-    pub(crate) fn served(&self, job: &Job) {
+    /// Records that an endpoint completed its response to a request.
+    pub(crate) fn observe_success(&self, job: &Job) {
         self.state.borrow_mut().quarantine.observe_success(self.now(), job.fingerprint());
     }
 
-    /// Takes a repeat from the service's budget.
-    pub(crate) fn may_repeat(&self, service: &Service) -> bool {
+    /// Takes a second attempt from the service's retry budget.
+    pub(crate) fn take_attempt(&self, service: &Service) -> bool {
         self.state.borrow_mut().budgets.take(self.now(), &service.name)
     }
 
-    /// Whether a generation may be sent once more, for its prompt or to run.
-    pub(crate) fn may_go(&self, job: &Job, sends: &mut Sends) -> bool {
+    /// Whether a generation may be sent once more, to be prefilled or to run.
+    pub(crate) fn may_send(&self, job: &Job, sends: &mut Sends) -> bool {
         let budgets = &mut self.state.borrow_mut().budgets;
         sends.may_send(self.now(), job.route.attempts, &job.service.name, budgets)
     }
 
-    /// Sends a request to an endpoint and checks the head of its answer.
+    /// Sends a request to an endpoint and checks the head of the response.
     pub(crate) async fn send(
         &self,
         job: &Job,
-        slot: &Slot,
+        work: &InFlightWork,
         purpose: Purpose<'_>,
         until: Instant,
     ) -> Result<Answer, StepFailure> {
-        let (begun, key) = (self.now(), slot.endpoint());
-        // An endpoint may have begun to leave since it was chosen: a prefill lies between that and the decode.
+        let (sent_at, key) = (self.now(), work.endpoint());
+        // The endpoint may have begun to drain since it was chosen: a prefill takes place before the decode.
         let Some((address, id)) = self.locate_open(key) else { return Err(StepFailure::Unsent) };
-        let left = job.until.saturating_duration_since(begun);
-        let request = self.request(job, &id, purpose, left);
+        let remaining = job.deadline.saturating_duration_since(sent_at);
+        let request = self.request(job, &id, purpose, remaining);
         let runs = !matches!(purpose, Purpose::Prefill);
         if runs {
-            job.charge.send();
+            job.charge.record_send();
         }
-        slot.sent.set(true);
-        let result = self.pool.exchange(address, request, until.min(job.until)).await;
-        slot.sent.set(!matches!(result, Err(Failure::Unsent)));
+        work.sent.set(true);
+        let result = self.pool.exchange(address, request, until.min(job.deadline)).await;
+        work.sent.set(!matches!(result, Err(ExchangeFailure::Unsent)));
         let step = step_name(purpose);
         let outcome = match result {
             Ok((response, connection)) => {
-                let answer = Answer { response, connection, endpoint: key, begun };
-                self.check(job, answer, purpose)
+                let answer = Answer { response, connection, endpoint: key, sent_at };
+                self.check_response(job, answer, purpose)
             }
             Err(failure) => Err(failure.into()),
         };
         if runs && outcome.as_ref().is_err_and(|failure| !failure.may_have_run()) {
-            job.charge.unsend();
+            job.charge.undo_send();
         }
-        let verdict = match &outcome {
+        let step_outcome = match &outcome {
             Ok(Answer { response, .. }) if response.status().is_server_error() => StepOutcome::ErrorResponse,
-            Ok(_) => StepOutcome::Answered(self.now().duration_since(begun)),
+            Ok(_) => StepOutcome::Answered(self.now().duration_since(sent_at)),
             Err(StepFailure::Refused) => StepOutcome::Full,
             Err(StepFailure::Unsent | StepFailure::Misdirected) => StepOutcome::Unreachable,
             Err(StepFailure::Broken | StepFailure::TimedOut) => StepOutcome::Failed,
         };
-        self.learn(key, verdict);
-        self.metrics.step(step, outcome.as_ref().map_or_else(|f| f.text(), |_| "answered"));
+        self.observe_step(key, step_outcome);
+        self.metrics.count_step(step, outcome.as_ref().map_or_else(|f| f.text(), |_| "answered"));
         outcome
     }
 
-    fn request(&self, job: &Job, id: &str, purpose: Purpose<'_>, left: Duration) -> Request<Full<Bytes>> {
+    fn request(
+        &self,
+        job: &Job,
+        id: &str,
+        purpose: Purpose<'_>,
+        remaining: Duration,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.method.clone();
         *request.uri_mut() = job.path.parse().expect("the path came from a parsed request");
         let mut headers = job.headers.clone();
-        self.protocol.endpoint_headers(&mut headers, job.team_name(), left, id, purpose);
+        self.protocol.endpoint_headers(&mut headers, job.team_name(), remaining, id, purpose);
         *request.headers_mut() = headers;
         request
     }
 
-    /// Takes an answer only if it is this request's and the endpoint's own.
+    /// Accepts a response only if it belongs to this request and comes from the intended endpoint.
     ///
-    /// An endpoint may answer a request twice; the second answer then stands where the next request's is expected,
-    /// and would give one caller what belongs to another. The id tells; such a connection is not used again.
-    fn check(&self, job: &Job, answer: Answer, purpose: Purpose<'_>) -> Result<Answer, StepFailure> {
+    /// An endpoint may respond twice to one request. The second response then arrives where the next
+    /// request's response is expected, and would give one caller another caller's data. The request id
+    /// reveals this; such a connection is not reused.
+    fn check_response(&self, job: &Job, answer: Answer, purpose: Purpose<'_>) -> Result<Answer, StepFailure> {
         let response = &answer.response;
         let ResponseMeta { id, signed, refused, misdirected, endpoint: answering, rate } =
             self.protocol.read_response(response.status(), response.headers());
@@ -459,23 +468,23 @@
             return Err(StepFailure::Broken);
         }
         if misdirected {
-            self.retire_replaced(answer.endpoint, &answering);
+            self.mark_replaced(answer.endpoint, &answering);
             return Err(StepFailure::Misdirected);
         }
-        rates::answered(self, answer.endpoint, rate);
+        rates::observe_response(self, answer.endpoint, rate);
         if refused {
             return Err(StepFailure::Refused);
         }
-        let own = signed || matches!(purpose, Purpose::Prefill);
-        if !own || response.headers().contains_key(CONTENT_ENCODING) {
+        let genuine = signed || matches!(purpose, Purpose::Prefill);
+        if !genuine || response.headers().contains_key(CONTENT_ENCODING) {
             return Err(StepFailure::Broken);
         }
         Ok(answer)
     }
 
-    /// Another endpoint answered at the address of the one that was meant, which has therefore ended. The list may show
-    /// that only seconds later.
-    fn retire_replaced(&self, key: EndpointKey, answering: &str) {
+    /// Retires an endpoint at whose address another endpoint responded: the intended endpoint has ended. The
+    /// list may show that only seconds later.
+    fn mark_replaced(&self, key: EndpointKey, answering: &str) {
         let Some((_, id)) = self.locate(key) else { return };
         if answering.is_empty() || answering == &*id {
             return;
@@ -484,27 +493,27 @@
         info!(self.log, "endpoint"; "endpoint" => &*id, "state" => "replaced", "by" => answering);
     }
 
-    /// Makes a small call and reads its whole answer.
+    /// Makes a small call and reads the complete response.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         call: Call,
         until: Instant,
-    ) -> Result<(StatusCode, Bytes), Failure> {
-        let (head, body) = self.call_in_full(address, call, until).await?;
+    ) -> Result<(StatusCode, Bytes), ExchangeFailure> {
+        let (head, body) = self.call_with_head(address, call, until).await?;
         Ok((head.status, body))
     }
 
-    /// The same with the whole head of the answer.
-    pub(crate) async fn call_in_full(
+    /// Like [`Self::call`], with the complete head of the response.
+    pub(crate) async fn call_with_head(
         &self,
         address: SocketAddr,
         call: Call,
         until: Instant,
-    ) -> Result<(Parts, Bytes), Failure> {
+    ) -> Result<(Parts, Bytes), ExchangeFailure> {
         let mut request = Request::new(Full::new(call.body.clone()));
         *request.method_mut() = call.method;
-        *request.uri_mut() = call.path.parse().map_err(|_| Failure::Unsent)?;
+        *request.uri_mut() = call.path.parse().map_err(|_| ExchangeFailure::Unsent)?;
         *request.headers_mut() = call.headers;
         let host = HeaderValue::from_str(&address.to_string()).expect("an address is a header value");
         request.headers_mut().insert(HOST, host);
@@ -517,25 +526,25 @@
         Ok((head, body))
     }
 
-    /// Reads a body that is for a caller to its end, as far as there is room, and keeps the connection.
-    pub(crate) async fn read_held(
+    /// Reads a body for a caller to its end, as far as there is buffer memory, and keeps the connection.
+    pub(crate) async fn read_buffered(
         self: &Rc<Self>,
         body: Incoming,
         connection: Connection,
         until: Instant,
-    ) -> Result<(Bytes, BufferedBytes), Failure> {
-        let mut holding = BufferedBytes::new(self, BodyKind::Response);
-        match tokio::time::timeout_at(until.into(), holding.collect(body)).await {
+    ) -> Result<(Bytes, BufferedBytes), ExchangeFailure> {
+        let mut buffered = BufferedBytes::new(self, BodyKind::Response);
+        match tokio::time::timeout_at(until.into(), buffered.collect(body)).await {
             Ok(Ok(whole)) => {
                 self.pool.put(connection);
-                Ok((whole, holding))
+                Ok((whole, buffered))
             }
-            Ok(Err(CollectError::Body(_))) => Err(Failure::Broken),
+            Ok(Err(CollectError::Body(_))) => Err(ExchangeFailure::Broken),
             Ok(Err(CollectError::Full(error, bytes))) => {
-                warn!(self.log, "an answer is given up"; "error" => %error, "bytes" => bytes);
-                Err(Failure::Broken)
+                warn!(self.log, "response abandoned, buffer memory is full"; "error" => %error, "bytes" => bytes);
+                Err(ExchangeFailure::Broken)
             }
-            Err(_) => Err(Failure::TimedOut),
+            Err(_) => Err(ExchangeFailure::TimedOut),
         }
     }
 
@@ -545,14 +554,14 @@
         body: Incoming,
         connection: Connection,
         until: Instant,
-    ) -> Result<Bytes, Failure> {
+    ) -> Result<Bytes, ExchangeFailure> {
         match tokio::time::timeout_at(until.into(), body.collect()).await {
             Ok(Ok(whole)) => {
                 self.pool.put(connection);
                 Ok(whole.to_bytes())
             }
-            Ok(Err(_)) => Err(Failure::Broken),
-            Err(_) => Err(Failure::TimedOut),
+            Ok(Err(_)) => Err(ExchangeFailure::Broken),
+            Err(_) => Err(ExchangeFailure::TimedOut),
         }
     }
 }
