--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -1,9 +1,10 @@
-//! Orders to engines to change their stage.
+//! Orders engines to change their stage.
 //!
-//! Two instances that order the same engine would undo each other's work, and there is no store to agree in who may.
-//! So only one process ever does: the one on the instance that the list of seeds names first, started when the whole
-//! system started for the first time. If it ends, nobody orders any more; stages then stay as they are, which costs
-//! throughput but breaks nothing. A frozen or cut-off process that comes back is still the only one.
+//! Two instances that order the same engine would undo each other's orders, and there is no store in which
+//! they could agree on one. Only one process therefore ever gives orders: the process of the first instance
+//! in the list of seeds that started with the first start of the whole system. If this process ends, no
+//! orders are given any more; stages then stay as they are, which costs throughput but breaks nothing. If the
+//! process is frozen or partitioned and returns, it is still the only one.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,67 +18,70 @@
 use crate::node::{Node, Phase};
 use crate::protocol::Order;
 
-/// Pause between two looks at the stages.
-const LOOK: Duration = Duration::from_millis(250);
-/// Looks without a change of the list before anything is ordered: shares of a list that is still filling are wrong.
-const STEADY: u32 = 2;
-/// The same after the first orders: endpoints that come back after a cut or a release must not be counted in between.
-const STEADY_SERVING: u32 = 8;
-/// Orders that wait for their answers at a time. Among thousands of engines a thousand are ordered; one after the other that
-/// lasts until callers are there, who then meet engines that change.
-const AT_A_TIME: usize = 16;
-/// Longest time for an order to be answered.
-const CALL: Duration = Duration::from_secs(1);
+/// Interval at which the stages are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Polls without a change in the number of endpoints before orders are given: the stages' shares of a list
+/// that is still filling are wrong.
+const STEADY_POLLS: u32 = 2;
+/// Like [`STEADY_POLLS`], after the first orders: endpoints that return after a network partition or a
+/// release must not be counted while they return.
+const STEADY_POLLS_SERVING: u32 = 8;
+/// Orders that may wait for their responses at a time. Among thousands of engines a thousand are ordered.
+/// Sequential orders would last until callers arrive, which would then meet engines that change their stage.
+const CONCURRENT_ORDERS: usize = 16;
+/// Longest time to wait for the response to an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether this process is the one that orders.
-pub(crate) fn is_holder(node: &Node) -> bool {
+/// Whether this process gives the orders.
+pub(crate) fn gives_orders(node: &Node) -> bool {
     let settings = &node.settings;
     settings.first_start
         && settings.control_address.is_some()
         && settings.control_address.as_ref() == settings.seeds.first()
 }
 
-/// Brings the stages of engines to the wanted shares, if this process is the one that orders.
+/// Orders engines until the stages have the planned shares, if this process gives the orders.
 pub(crate) async fn run(node: Rc<Node>) {
-    if !is_holder(&node) {
+    if !gives_orders(&node) {
         return;
     }
     info!(node.log, "orders engines");
-    let mut ordered: Ordered = HashMap::new();
-    let mut fence = 0;
+    let mut ordered: OrderedStages = HashMap::new();
+    let mut fencing_number = 0;
     let mut known = 0;
-    let mut steady = 0;
+    let mut steady_polls = 0;
     let mut serving = false;
     while node.phase() == Phase::Serving {
-        tokio::time::sleep(LOOK).await;
-        let (count, whole) = {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let (count, list_complete) = {
             let state = node.state.borrow();
-            (state.endpoints.len(), state.whole)
+            (state.endpoints.len(), state.list_complete)
         };
-        steady = if whole && count > 0 && count == known { steady + 1 } else { 0 };
+        steady_polls = if list_complete && count > 0 && count == known { steady_polls + 1 } else { 0 };
         known = count;
-        if steady < if serving { STEADY_SERVING } else { STEADY } {
+        if steady_polls < if serving { STEADY_POLLS_SERVING } else { STEADY_POLLS } {
             continue;
         }
         let mut orders = Vec::new();
-        for change in wanted(&node, &ordered, serving) {
-            // An engine is ordered once in its life: an order that got no answer may have been accepted.
+        for change in planned_changes(&node, &ordered, serving) {
+            // An engine gets at most one order in each incarnation: an order without a response may have been
+            // accepted.
             if ordered.insert(change.incarnation.clone(), change.stage).is_none() {
-                fence += 1;
-                orders.push((change, fence));
+                fencing_number += 1;
+                orders.push((change, fencing_number));
             }
         }
         let node = &node;
-        let give = |(change, fence)| async move { give(node, &change, fence).await };
-        futures_util::stream::iter(orders).for_each_concurrent(AT_A_TIME, give).await;
+        let send = |(change, fencing_number)| async move { send_order(node, &change, fencing_number).await };
+        futures_util::stream::iter(orders).for_each_concurrent(CONCURRENT_ORDERS, send).await;
         serving = true;
     }
 }
 
-/// The stage that each start of an engine was ordered to take.
-type Ordered = HashMap<Incarnation, Stage>;
+/// The stage that each incarnation of an engine was ordered to take.
+type OrderedStages = HashMap<Incarnation, Stage>;
 
-fn wanted(node: &Node, ordered: &Ordered, serving: bool) -> Vec<StageChange> {
+fn planned_changes(node: &Node, ordered: &OrderedStages, serving: bool) -> Vec<StageChange> {
     let state = node.state.borrow();
     let Some(routes) = &state.routes else { return Vec::new() };
     let engines = routes.services().filter(|s| s.engine.is_some());
@@ -85,31 +89,27 @@
     let plan = |service: &Service| {
         let open = state.endpoints.open(now, &service.name);
         let memory = service.engine.map_or(0, |e| e.tokens);
-        plan_stage_changes(open, |life| ordered.get(life).copied(), serving, memory)
+        plan_stage_changes(open, |incarnation| ordered.get(incarnation).copied(), serving, memory)
     };
     engines.flat_map(|service| plan(service)).collect()
 }
 
-async fn give(node: &Node, change: &StageChange, fence: u64) {
+async fn send_order(node: &Node, change: &StageChange, fencing_number: u64) {
     let address = {
         let state = node.state.borrow();
         let Some(endpoint) = state.endpoints.by_id(&change.id) else { return };
         endpoint.address
     };
     let instance = &node.settings.instance;
-    let call = node.protocol.order(Order {
-        endpoint_id: &change.id,
-        stage: change.stage,
-        instance,
-        fencing_number: fence,
-    });
-    let result = node.call(address, call, node.now() + CALL).await;
+    let call =
+        node.protocol.order(Order { endpoint_id: &change.id, stage: change.stage, instance, fencing_number });
+    let result = node.call(address, call, node.now() + ORDER_TIMEOUT).await;
     let outcome = match result {
         Ok((StatusCode::ACCEPTED | StatusCode::OK, _)) => "accepted",
         Ok(_) => "refused",
         Err(failure) => failure.text(),
     };
-    node.metrics.step("order", outcome);
-    info!(node.log, "order"; "endpoint" => &*change.id, "stage" => change.stage.text(), "fence" => fence,
+    node.metrics.count_step("order", outcome);
+    info!(node.log, "order"; "endpoint" => &*change.id, "stage" => change.stage.text(), "fence" => fencing_number,
         "outcome" => outcome);
 }
--- a/crates/forward/src/plain.rs
+++ b/crates/forward/src/plain.rs
@@ -1,8 +1,9 @@
-//! Requests to plain services: sent to one endpoint, and to a second one where that may be.
+//! Sends requests to plain services: to one endpoint, and to a second one where that is allowed.
 //!
-//! An idempotent request that has no answer after half of its aim goes to a second endpoint as well, and the first
-//! good answer counts: one slow or silent endpoint then costs a caller half of the aim instead of the whole timeout.
-//! A request that may run once goes to another endpoint only if the first provably has not run it.
+//! An idempotent request without a response after a fraction ([`HEDGE_FRACTION`]) of its latency goal is also
+//! sent to a second endpoint, and the first good response is used. One slow or unresponsive endpoint then
+//! costs a caller that fraction of the goal and not the whole timeout. A non-idempotent request goes to
+//! another endpoint only if the first provably has not run it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,63 +13,66 @@
 use teaselshunt_core::{ErrorKind, Refusal};
 use teaselshunt_routing::{EndpointKey, Need, Repeat};
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::buffering::BufferedBytes;
-use crate::crashes::{self, Watch};
-use crate::node::{Answer, Job, Node, Slot, StepFailure};
+use crate::crashes::{self, CallGuard};
+use crate::node::{Answer, InFlightWork, Job, Node, StepFailure};
 use crate::protocol::Purpose;
 use crate::rates;
 use crate::refusals::refuse;
-use crate::stream::{self, Source};
+use crate::stream::{self, StreamJob};
 use crate::trace::Trace;
 
-/// Part of the aim after which an idempotent request goes to a second endpoint.
-const HEDGE: f64 = 0.6;
-/// Endpoints that one request may fail to reach before it is given up.
-const UNREACHED: usize = 3;
-/// When to come back if no endpoint is in reach: about the time in which a pause ends.
-const NO_ENDPOINT: Duration = Duration::from_millis(300);
-/// When to come back if every endpoint is full: some service times.
-const FULL: Duration = Duration::from_millis(150);
+/// Fraction of the latency goal after which an idempotent request is also sent to a second endpoint.
+const HEDGE_FRACTION: f64 = 0.6;
+/// Endpoints that one request may fail to reach before it is refused.
+const MAX_UNREACHABLE: usize = 3;
+/// `Retry-After` delay if no endpoint is reachable: about the time for which an endpoint is paused after
+/// failures.
+const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(300);
+/// `Retry-After` delay if every endpoint is full: some service times.
+const ALL_FULL_RETRY: Duration = Duration::from_millis(150);
 
-/// A whole answer, or the head of a stream.
+/// A complete response, or the head of a stream.
 enum Outcome {
-    Whole(Response<Bytes>, BufferedBytes),
-    Stream(Answer, Slot),
+    Complete(Response<Bytes>, BufferedBytes),
+    Stream(Answer, InFlightWork),
 }
 
 /// Serves a request.
-pub(crate) async fn run(node: &Rc<Node>, job: Job, trace: Trace) -> Response<AnswerBody> {
+pub(crate) async fn run(node: &Rc<Node>, job: Job, trace: Trace) -> Response<ResponseBody> {
     let result = match job.route.repeat {
         Repeat::Idempotent if job.route.attempts > 1 => hedged(node, &job, &trace).await,
         Repeat::Idempotent | Repeat::Once | Repeat::Stream { .. } => {
-            attempts(node, &job, &trace, Tried::default()).await
+            sequential(node, &job, &trace, AttemptLog::default()).await
         }
     };
     match result {
-        Ok(Outcome::Whole(response, holding)) => {
+        Ok(Outcome::Complete(response, buffered)) => {
             let status = response.status().as_u16();
-            node.served(&job);
-            trace.first();
+            node.observe_success(&job);
+            trace.record_head();
             trace.end("answered", status);
-            response.map(|body| AnswerBody::whole(body, Some(holding)))
+            response.map(|body| ResponseBody::complete(body, Some(buffered)))
+        }
+        Ok(Outcome::Stream(answer, work)) => {
+            stream::relay(node, StreamJob::not_resumable(job), answer, work, trace)
         }
-        Ok(Outcome::Stream(answer, slot)) => stream::relay(node, Source::fixed(job), answer, slot, trace),
         Err(refusal) => refuse(node, refusal, trace),
     }
 }
 
-/// Where a request has been.
+/// Endpoints that a request was sent to, and the effect.
 #[derive(Debug, Default)]
-struct Tried {
+struct AttemptLog {
     endpoints: Vec<EndpointKey>,
-    /// Sends that may have arrived.
+    /// Attempts whose request may have reached an endpoint.
     sent: u32,
-    /// Whether one of them may have run.
+    /// Whether one of these attempts may have run.
     ran: bool,
 }
 
-impl Tried {
+impl AttemptLog {
     fn count(&mut self, result: &Result<Outcome, StepFailure>) {
         match result {
             Err(StepFailure::Unsent) => {}
@@ -80,134 +84,142 @@
         }
     }
 
-    /// The answer when no further try is allowed.
-    fn spent(&self, node: &Node, job: &Job, trace: &Trace) -> Refusal {
+    /// The refusal when no further attempt is allowed.
+    fn exhausted_refusal(&self, node: &Node, job: &Job, trace: &Trace) -> Refusal {
         if !self.ran
             && let Some(refusal) = rates::refusal(node, job, trace, None)
         {
             return refusal;
         }
         match (self.ran, self.sent) {
-            (true, _) => Refusal::new(uncertain(node, job)),
-            (false, 0) => Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT),
-            (false, _) => Refusal::retryable(ErrorKind::Overloaded, FULL),
+            (true, _) => Refusal::new(unknown_outcome(node, job)),
+            (false, 0) => Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT_RETRY),
+            (false, _) => Refusal::retryable(ErrorKind::Overloaded, ALL_FULL_RETRY),
         }
     }
 }
 
-/// The kind of answer for a request that was sent and whose fate is not known.
-fn uncertain(node: &Node, job: &Job) -> ErrorKind {
-    if node.now() >= job.until { ErrorKind::DeadlinePassed } else { ErrorKind::OutcomeUnknown }
+/// The kind of error for a request that was sent and whose outcome is unknown.
+fn unknown_outcome(node: &Node, job: &Job) -> ErrorKind {
+    if node.now() >= job.deadline { ErrorKind::DeadlinePassed } else { ErrorKind::OutcomeUnknown }
 }
 
 fn is_good(result: &Result<Outcome, StepFailure>) -> bool {
     match result {
-        Ok(Outcome::Whole(response, _)) => !response.status().is_server_error(),
+        Ok(Outcome::Complete(response, _)) => !response.status().is_server_error(),
         Ok(Outcome::Stream(..)) => true,
         Err(_) => false,
     }
 }
 
-/// Sends until there is a good answer or no further try is allowed; then the last answer of an endpoint counts.
-async fn attempts(node: &Rc<Node>, job: &Job, trace: &Trace, mut tried: Tried) -> Result<Outcome, Refusal> {
+/// Makes attempts until there is a good response or no further attempt is allowed. Then the last response of
+/// an endpoint is used.
+async fn sequential(
+    node: &Rc<Node>,
+    job: &Job,
+    trace: &Trace,
+    mut tried: AttemptLog,
+) -> Result<Outcome, Refusal> {
     let mut last = None;
-    while node.now() < job.until && tried.endpoints.len() < UNREACHED + tried.sent as usize {
+    while node.now() < job.deadline && tried.endpoints.len() < MAX_UNREACHABLE + tried.sent as usize {
         match node.quarantined(job) {
             Some(refusal) if !tried.ran => return Err(refusal),
             Some(_) => break,
             None => {}
         }
-        let repeats = tried.sent > 0;
-        if repeats && tried.sent >= job.route.attempts {
+        let is_further_attempt = tried.sent > 0;
+        if is_further_attempt && tried.sent >= job.route.attempts {
             break;
         }
         let Some(key) = rates::choose(node, job, &tried.endpoints).await else { break };
-        if repeats && !node.may_repeat(&job.service) {
+        if is_further_attempt && !node.take_attempt(&job.service) {
             break;
         }
         tried.endpoints.push(key);
         let result = attempt(node, job, key, trace).await;
         tried.count(&result);
         if is_good(&result) || (tried.ran && job.route.repeat != Repeat::Idempotent) {
-            return result.map_err(|_| tried.spent(node, job, trace));
+            return result.map_err(|_| tried.exhausted_refusal(node, job, trace));
         }
         last = result.ok().or(last);
     }
-    last.ok_or_else(|| tried.spent(node, job, trace))
+    last.ok_or_else(|| tried.exhausted_refusal(node, job, trace))
 }
 
-/// Like [`attempts`], with a second try beside the first when that is slow.
+/// Like [`sequential`], with a second attempt in parallel if the first is slow.
 async fn hedged(node: &Rc<Node>, job: &Job, trace: &Trace) -> Result<Outcome, Refusal> {
-    let mut tried = Tried::default();
-    let Some(key) = rates::choose(node, job, &[]).await else { return Err(tried.spent(node, job, trace)) };
+    let mut tried = AttemptLog::default();
+    let Some(key) = rates::choose(node, job, &[]).await else {
+        return Err(tried.exhausted_refusal(node, job, trace));
+    };
     tried.endpoints.push(key);
     let mut first = Box::pin(attempt(node, job, key, trace));
-    let wait = job.arrived + job.route.goal.mul_f64(HEDGE);
+    let wait = job.arrived + job.route.goal.mul_f64(HEDGE_FRACTION);
     if let Ok(result) = tokio::time::timeout_at(wait.into(), &mut first).await {
         tried.count(&result);
         if is_good(&result) {
-            return result.map_err(|_| tried.spent(node, job, trace));
+            return result.map_err(|_| tried.exhausted_refusal(node, job, trace));
         }
-        return match (attempts(node, job, trace, tried).await, result) {
+        return match (sequential(node, job, trace, tried).await, result) {
             (Err(_), Ok(answer)) => Ok(answer),
             (outcome, _) => outcome,
         };
     }
     let need = Need { tried: &tried.endpoints, hedge: true, ..node.need(&job.service.name) };
     let other = node.choose_for(need);
-    let repeats = |_: &EndpointKey| node.quarantined(job).is_none() && node.may_repeat(&job.service);
-    let Some(other) = other.filter(repeats) else {
+    let allowed = |_: &EndpointKey| node.quarantined(job).is_none() && node.take_attempt(&job.service);
+    let Some(other) = other.filter(allowed) else {
         let result = first.await;
         tried.count(&result);
-        return result.map_err(|_| tried.spent(node, job, trace));
+        return result.map_err(|_| tried.exhausted_refusal(node, job, trace));
     };
-    trace.step("hedge", "", "begun");
+    trace.record_step("hedge", "", "begun");
     let mut second = Box::pin(attempt(node, job, other, trace));
-    let (one, firstly) = tokio::select! {
+    let (earlier, first_ended) = tokio::select! {
         result = &mut first => (result, true),
         result = &mut second => (result, false),
     };
-    tried.count(&one);
-    if is_good(&one) {
-        return one.map_err(|_| tried.spent(node, job, trace));
+    tried.count(&earlier);
+    if is_good(&earlier) {
+        return earlier.map_err(|_| tried.exhausted_refusal(node, job, trace));
     }
-    let two = if firstly { second.await } else { first.await };
-    tried.count(&two);
-    two.or(one).map_err(|_| tried.spent(node, job, trace))
+    let later = if first_ended { second.await } else { first.await };
+    tried.count(&later);
+    later.or(earlier).map_err(|_| tried.exhausted_refusal(node, job, trace))
 }
 
-/// One try at one endpoint.
+/// One attempt at one endpoint.
 async fn attempt(
     node: &Rc<Node>,
     job: &Job,
     key: EndpointKey,
     trace: &Trace,
 ) -> Result<Outcome, StepFailure> {
-    let slot = node.occupy(key, 0);
-    let name = node.name(key);
-    let watch = Watch::new(node, job, key);
-    let result = whole(node, job, slot).await;
-    let begun = watch.ended();
+    let work = node.begin_work(key, 0);
+    let id = node.id_for_log(key);
+    let guard = CallGuard::new(node, job, key);
+    let result = send_and_read(node, job, work).await;
+    let sent_at = guard.ended();
     if result.as_ref().is_err_and(|failure| failure.may_have_run()) {
-        crashes::check(node, job, trace, key, begun);
+        crashes::check_endpoint(node, job, trace, key, sent_at);
     }
     let text = match &result {
-        Ok(Outcome::Whole(r, _)) if r.status() == StatusCode::OK => "ok",
-        Ok(Outcome::Whole(r, _)) => r.status().canonical_reason().unwrap_or("answered"),
+        Ok(Outcome::Complete(r, _)) if r.status() == StatusCode::OK => "ok",
+        Ok(Outcome::Complete(r, _)) => r.status().canonical_reason().unwrap_or("answered"),
         Ok(Outcome::Stream(..)) => "stream",
         Err(failure) => failure.text(),
     };
-    trace.step("run", &name, text);
+    trace.record_step("run", &id, text);
     result
 }
 
-async fn whole(node: &Rc<Node>, job: &Job, slot: Slot) -> Result<Outcome, StepFailure> {
-    let answer = node.send(job, &slot, Purpose::Run, job.until).await?;
+async fn send_and_read(node: &Rc<Node>, job: &Job, work: InFlightWork) -> Result<Outcome, StepFailure> {
+    let answer = node.send(job, &work, Purpose::Run, job.deadline).await?;
     if matches!(job.route.repeat, Repeat::Stream { .. }) && answer.response.status().is_success() {
-        return Ok(Outcome::Stream(answer, slot));
+        return Ok(Outcome::Stream(answer, work));
     }
     let (mut head, body) = answer.response.into_parts();
-    let (body, holding) = node.read_held(body, answer.connection, job.until).await?;
+    let (body, buffered) = node.read_buffered(body, answer.connection, job.deadline).await?;
     crate::headers::strip(&mut head.headers);
-    Ok(Outcome::Whole(Response::from_parts(head, body), holding))
+    Ok(Outcome::Complete(Response::from_parts(head, body), buffered))
 }
--- a/crates/forward/src/requests.rs
+++ b/crates/forward/src/requests.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to its answer.
+//! Handles a caller's request from its head to its response.
 
 use std::cell::OnceCell;
 use std::convert::Infallible;
@@ -15,33 +15,35 @@
 use teaselshunt_routing::{BodyKind, Repeat, Route, RouteSet, Stage};
 
 use crate::admission::{charge, identify};
-use crate::body::{AnswerBody, Unread};
+use crate::body::{ReadDeadline, ResponseBody};
 use crate::buffering::{BufferedBytes, CollectError};
 use crate::node::{Job, Node, Phase};
-use crate::refusals::{ELSEWHERE, refuse};
+use crate::refusals::{OTHER_INSTANCE_RETRY, refuse};
 use crate::trace::Trace;
 use crate::{generate, headers, plain};
 
-/// When to come back if too much is held for slow readers: others may hold less, and some of it is read by then.
-const HELD: Duration = Duration::from_millis(200);
-/// Time after a caller stopped waiting until which it must have read its answer. Answers are delivered late as well.
-const UNREAD: Duration = Duration::from_secs(10);
-/// Deadline of a request that names none.
-const DEADLINE: Duration = Duration::from_secs(30);
+/// `Retry-After` delay if buffers for slow callers are full: other requests may hold less, and callers will
+/// have read some of the buffered bytes by then.
+const BUFFERS_FULL_RETRY: Duration = Duration::from_millis(200);
+/// Time after the caller's deadline within which the caller must have read its response. Responses are still
+/// delivered after the deadline.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Deadline of a request without one.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// Answers a request.
+/// Serves a request.
 pub(crate) async fn serve(
     node: Rc<Node>,
     request: Request<Incoming>,
-    unread: Rc<Unread>,
-) -> Result<Response<AnswerBody>, Infallible> {
+    read_deadline: Rc<ReadDeadline>,
+) -> Result<Response<ResponseBody>, Infallible> {
     let arrived = node.now();
     let meta = node.protocol.read_request(request.headers());
     let mut trace = Trace::new(&node, &meta, arrived);
-    let mut response = match open(&node, request, meta, arrived, &mut trace).await {
+    let mut response = match admit(&node, request, meta, arrived, &mut trace).await {
         Ok(job) => {
-            let until = job.until + UNREAD;
-            run(&node, job, trace).await.map(|body| body.until(&unread, until))
+            let until = job.deadline + READ_TIMEOUT;
+            run(&node, job, trace).await.map(|body| body.with_read_deadline(&read_deadline, until))
         }
         Err(refusal) => refuse(&node, refusal, trace),
     };
@@ -51,8 +53,8 @@
     Ok(response)
 }
 
-/// Finds the route and reads the body.
-async fn open(
+/// Finds the route, reads the body and admits the request.
+async fn admit(
     node: &Rc<Node>,
     request: Request<Incoming>,
     meta: crate::protocol::RequestMeta,
@@ -62,38 +64,38 @@
     let routes = node.state.borrow().routes.clone();
     let (mut head, body) = request.into_parts();
     let key = node.protocol.take_key(&mut head.headers).map(|key| key.digest());
-    let mut holding = BufferedBytes::new(node, BodyKind::Request);
-    let body = read_body(body, routes.as_deref(), &mut holding).await?;
-    let routes = routes.ok_or(Refusal::retryable(ErrorKind::NotReady, ELSEWHERE))?;
+    let mut buffered = BufferedBytes::new(node, BodyKind::Request);
+    let body = read_body(body, routes.as_deref(), &mut buffered).await?;
+    let routes = routes.ok_or(Refusal::retryable(ErrorKind::NotReady, OTHER_INSTANCE_RETRY))?;
     let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).or_else(|| head.uri.host());
     let route = routes
         .find(host.unwrap_or_default(), head.uri.path())
         .ok_or(Refusal::new(ErrorKind::UnknownService))?;
-    trace.routed(kind(route), &route.name, routes.version);
+    trace.set_route(route_kind(route), &route.name, routes.version);
     let team = identify(&routes, route, key)?;
-    trace.team(team.as_deref());
-    let short = !matches!(route.repeat, Repeat::Stream { .. });
-    if node.phase() >= if short { Phase::Ending } else { Phase::Refusing } {
-        return Err(Refusal::retryable(ErrorKind::Stopping, ELSEWHERE));
+    trace.set_team(team.as_deref());
+    let is_short = !matches!(route.repeat, Repeat::Stream { .. });
+    if node.phase() >= if is_short { Phase::Ending } else { Phase::Refusing } {
+        return Err(Refusal::retryable(ErrorKind::Stopping, OTHER_INSTANCE_RETRY));
     }
     let charge = charge(node, team.as_deref(), &meta, trace)?;
-    let (service, returns) = {
+    let (service, is_retry) = {
         let state = &mut *node.state.borrow_mut();
-        let deadline = meta.deadline.filter(|_| !short);
-        let returns = deadline.is_some_and(|d| state.allowances.is_retry(arrived, &route.name, d));
-        trace.returns(returns);
+        let deadline = meta.deadline.filter(|_| !is_short);
+        let is_retry = deadline.is_some_and(|d| state.retry_detector.is_retry(arrived, &route.name, d));
+        trace.set_retry(is_retry);
         let name = route.pick_service(&mut state.rng).cloned();
         let service = name.and_then(|name| routes.service(&name).cloned());
         let service = service.ok_or(Refusal::new(ErrorKind::UnknownService))?;
         state.budgets.count_request(arrived, &service.name);
-        (service, returns)
+        (service, is_retry)
     };
-    let until = arrived + meta.deadline.unwrap_or(DEADLINE).min(route.timeout);
+    let deadline = arrived + meta.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned();
     let mut headers = head.headers;
     headers::strip(&mut headers);
     if routes.teams.is_some() {
-        // Whatever stands there, a key may be part of it, and no endpoint sees keys.
+        // The header may contain a key in any form, and endpoints must not see keys.
         headers.remove(AUTHORIZATION);
     }
     Ok(Job {
@@ -102,56 +104,58 @@
         path,
         headers,
         body,
-        _holding: holding,
+        _buffered: buffered,
         route: Arc::clone(route),
         service,
         team,
         charge,
         arrived,
-        returns,
-        until,
+        is_retry,
+        deadline,
         fingerprint: OnceCell::new(),
     })
 }
 
-/// Reads a request's body whole, so that an endpoint never waits for a slow caller, and so that an answer of our own
-/// never meets unread bytes, which would reset the connection under it.
+/// Reads the complete body of a request. Endpoints then never wait for a slow caller, and a response from
+/// this instance is never written while request bytes are unread, which would reset the connection before the
+/// caller has the response.
 async fn read_body(
     body: Incoming,
     routes: Option<&RouteSet>,
-    holding: &mut BufferedBytes,
+    buffered: &mut BufferedBytes,
 ) -> Result<Bytes, Refusal> {
-    /// Limits that hold before any version is known.
-    const SIZE: usize = 4 << 20;
-    const TIME: Duration = Duration::from_secs(3);
-    let (size, time) = routes.map_or((SIZE, TIME), |r| (r.limits.body, r.limits.arrival));
-    match tokio::time::timeout(time, holding.collect(Limited::new(body, size))).await {
-        Ok(Ok(whole)) => Ok(whole),
+    /// Limits until a configuration is known.
+    const DEFAULT_BODY_BYTES: usize = 4 << 20;
+    const DEFAULT_ARRIVAL_TIMEOUT: Duration = Duration::from_secs(3);
+    let (size, time) =
+        routes.map_or((DEFAULT_BODY_BYTES, DEFAULT_ARRIVAL_TIMEOUT), |r| (r.limits.body, r.limits.arrival));
+    match tokio::time::timeout(time, buffered.collect(Limited::new(body, size))).await {
+        Ok(Ok(complete)) => Ok(complete),
         Ok(Err(CollectError::Body(error))) if error.is::<LengthLimitError>() => {
             Err(Refusal::new(ErrorKind::TooLarge))
         }
         Ok(Err(CollectError::Body(_))) => Err(Refusal::new(ErrorKind::Invalid)),
-        Ok(Err(CollectError::Full(..))) => Err(Refusal::retryable(ErrorKind::Overloaded, HELD)),
+        Ok(Err(CollectError::Full(..))) => Err(Refusal::retryable(ErrorKind::Overloaded, BUFFERS_FULL_RETRY)),
         Err(_) => Err(Refusal::new(ErrorKind::Incomplete)),
     }
 }
 
-async fn run(node: &Rc<Node>, job: Job, trace: Trace) -> Response<AnswerBody> {
+async fn run(node: &Rc<Node>, job: Job, trace: Trace) -> Response<ResponseBody> {
     if let Some(refusal) = node.quarantined(&job) {
-        trace.fingerprint(job.fingerprint());
+        trace.set_fingerprint(job.fingerprint());
         return refuse(node, refusal, trace);
     }
-    let staged = job.service.engine.is_some() && has_stages(node, &job);
-    if staged { generate::run(node, job, trace).await } else { plain::run(node, job, trace).await }
+    let is_staged = job.service.engine.is_some() && has_decode_engines(node, &job);
+    if is_staged { generate::run(node, job, trace).await } else { plain::run(node, job, trace).await }
 }
 
-fn has_stages(node: &Node, job: &Job) -> bool {
+fn has_decode_engines(node: &Node, job: &Job) -> bool {
     let state = node.state.borrow();
     state.endpoints.open(node.now(), &job.service.name).any(|e| e.stage == Some(Stage::Decode))
 }
 
-/// Name of a kind of route, for logs and metrics.
-pub(crate) fn kind(route: &Route) -> &'static str {
+/// Kind of a route, for logs and metrics.
+pub(crate) fn route_kind(route: &Route) -> &'static str {
     match route.repeat {
         Repeat::Idempotent => "idempotent",
         Repeat::Once => "once",
--- a/crates/forward/src/reservations.rs
+++ b/crates/forward/src/reservations.rs
@@ -1,7 +1,8 @@
-//! Room at decode engines.
+//! Reserves capacity at decode engines.
 //!
-//! Room for a whole generation is reserved before its prompt is read. A search ends with room, or with what it was
-//! short of; it waits a little for either to come free, and nothing of the request has run meanwhile.
+//! Capacity for a complete generation is reserved before its prompt is prefilled. A search ends with a
+//! reservation or with the reason why there is none. The search waits a short time for capacity or a prefill
+//! engine to become free; nothing of the request runs meanwhile.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,145 +14,153 @@
 use teaselshunt_core::{ErrorKind, Refusal};
 use teaselshunt_routing::{Backoff, EndpointKey, Need, Stage, StepOutcome, WaitPolicy, retry_delay};
 
-use crate::calls::{CALL, tidy};
-use crate::connection_pool::Failure;
-use crate::node::{Job, Node, Phase, Slot};
+use crate::calls::{CALL_TIMEOUT, release_in_background};
+use crate::connection_pool::ExchangeFailure;
+use crate::node::{InFlightWork, Job, Node, Phase};
 use crate::rates;
-use crate::refusals::ELSEWHERE;
+use crate::refusals::OTHER_INSTANCE_RETRY;
 use crate::trace::Trace;
 
-/// When to come back if no engine is in reach.
-const NO_ENDPOINT: Duration = Duration::from_millis(500);
+/// `Retry-After` delay if no engine is reachable.
+const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(500);
 
-/// Room that is reserved at a decode engine. Dropped with its reservation it gives it back.
+/// Capacity reserved at a decode engine. Dropping it releases the reservation.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     node: Rc<Node>,
     pub(crate) endpoint: EndpointKey,
     address: SocketAddr,
-    pub(crate) hold: Option<String>,
-    pub(crate) slot: Option<Slot>,
+    pub(crate) id: Option<String>,
+    pub(crate) work: Option<InFlightWork>,
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        if let Some(hold) = self.hold.take() {
-            let call = self.node.protocol.release(&hold);
-            tidy(&self.node, self.address, call);
+        if let Some(reservation_id) = self.id.take() {
+            let call = self.node.protocol.release(&reservation_id);
+            release_in_background(&self.node, self.address, call);
         }
     }
 }
 
-/// Who reads the prompt of a generation that looks for room.
+/// Which engine prefills the prompt of a generation that searches for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PromptState {
-    /// A prefill engine will, once there is room.
-    Unread,
+    /// A prefill engine will, once capacity is reserved.
+    NotPrefilled,
     /// A prefill engine has.
-    Read,
-    /// The decode engine will.
-    ByDecode,
+    Prefilled,
+    /// The decode engine will (local prefill).
+    LocalPrefill,
 }
 
-/// A search for room at a decode engine.
+/// Parameters of a search for capacity at a decode engine.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Search<'a> {
-    pub(crate) patience: WaitPolicy,
+pub(crate) struct CapacitySearch<'a> {
+    pub(crate) wait_policy: WaitPolicy,
     pub(crate) prompt: PromptState,
     /// Engines not to ask again.
     pub(crate) tried: &'a [EndpointKey],
 }
 
-/// Reserves room for the whole generation at a decode engine.
+/// Reserves capacity for the complete generation at a decode engine.
 pub(crate) async fn reserve(
     node: &Rc<Node>,
     job: &Job,
     trace: &Trace,
-    search: Search<'_>,
+    search: CapacitySearch<'_>,
 ) -> Result<Reservation, Refusal> {
     let tokens = job.meta.prompt_tokens + node.expected_output(job);
-    let WaitPolicy { until, late } = search.patience;
-    let mut want = Want::Open;
-    let mut looks = Backoff::new(late);
-    let mut asked = 0_u32;
+    let WaitPolicy { until, late } = search.wait_policy;
+    let mut shortage = Shortage::DecodeEngine;
+    let mut backoff = Backoff::new(late);
+    let mut polls = 0_u32;
     loop {
         let now = node.now();
-        if now >= until && asked > 0 {
+        if now >= until && polls > 0 {
             break;
         }
-        // What begins now must end within the grace time; an instance that does not stop can still serve the caller.
+        // Work that begins now must end within the grace time. Another instance, which is not stopping, can
+        // still serve the caller.
         if late && node.phase() >= Phase::Refusing {
-            want = Want::Instance;
+            shortage = Shortage::Instance;
             break;
         }
-        // Only a prompt that a prefill engine is still to read stands in the queue there.
-        let queues = search.prompt == PromptState::Unread;
-        let chosen = if !queues || in_time(node, job, search.patience) {
-            want = Want::Room;
+        // Only a prompt that a prefill engine has yet to prefill waits in the queue of the prefill engines.
+        let needs_prefill_engine = search.prompt == PromptState::NotPrefilled;
+        let chosen = if !needs_prefill_engine || prefill_in_time(node, job, search.wait_policy) {
+            shortage = Shortage::Capacity;
             choose(node, job, search, tokens)
         } else {
-            want = Want::Prefill;
+            shortage = Shortage::PrefillEngine;
             None
         };
         let Some(key) = chosen else {
-            if !is_served(node, job) {
-                want = Want::Open;
+            if !has_open_decode_engine(node, job) {
+                shortage = Shortage::DecodeEngine;
                 break;
             }
-            if now >= until || rates::is_pressed(node, job, Some(want.stage())) {
+            if now >= until || rates::is_overloaded(node, job, Some(shortage.stage())) {
                 break;
             }
-            asked += 1;
-            pause(node, looks.pause()).await;
+            polls += 1;
+            sleep_about(node, backoff.pause()).await;
             continue;
         };
         let Some((address, id)) = node.locate(key) else { continue };
-        asked += 1;
-        let slot = node.occupy(key, tokens);
+        polls += 1;
+        let work = node.begin_work(key, tokens);
         match reserve_at(node, job, key, (address, &id), tokens).await {
-            Ok(hold) => {
+            Ok(reservation_id) => {
                 let node = Rc::clone(node);
-                return Ok(Reservation { node, endpoint: key, address, hold: Some(hold), slot: Some(slot) });
+                return Ok(Reservation {
+                    node,
+                    endpoint: key,
+                    address,
+                    id: Some(reservation_id),
+                    work: Some(work),
+                });
             }
-            Err((verdict, outcome)) => {
-                node.learn(key, verdict);
-                if verdict == StepOutcome::Full {
-                    pause(node, looks.after_refusal()).await;
+            Err((step_outcome, outcome)) => {
+                node.observe_step(key, step_outcome);
+                if step_outcome == StepOutcome::Full {
+                    sleep_about(node, backoff.after_refusal()).await;
                 } else {
-                    trace.step("reserve", &node.name(key), outcome);
-                    // An engine that is gone refuses at once; where no other is left it would be asked without end.
-                    pause(node, looks.pause()).await;
+                    trace.record_step("reserve", &node.id_for_log(key), outcome);
+                    // An engine that is gone fails at once; without a pause, a sole engine would be asked in
+                    // a tight loop.
+                    sleep_about(node, backoff.pause()).await;
                 }
             }
         }
     }
-    trace.step("reserve", "any", want.text());
-    match want {
-        Want::Instance => Err(Refusal::retryable(ErrorKind::Stopping, ELSEWHERE)),
-        Want::Open => Err(Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT)),
-        Want::Room | Want::Prefill => {
-            let left = job.until.saturating_duration_since(node.now());
+    trace.record_step("reserve", "any", shortage.text());
+    match shortage {
+        Shortage::Instance => Err(Refusal::retryable(ErrorKind::Stopping, OTHER_INSTANCE_RETRY)),
+        Shortage::DecodeEngine => Err(Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT_RETRY)),
+        Shortage::Capacity | Shortage::PrefillEngine => {
+            let left = job.deadline.saturating_duration_since(node.now());
             let full = Refusal::retryable(ErrorKind::Overloaded, retry_delay(left));
-            Err(rates::refusal(node, job, trace, Some(want.stage())).unwrap_or(full))
+            Err(rates::refusal(node, job, trace, Some(shortage.stage())).unwrap_or(full))
         }
     }
 }
 
-/// Waits for about `mean`; spread, so that searches that began together do not go on asking together.
-async fn pause(node: &Node, mean: Duration) {
+/// Sleeps for about `mean`. The time is randomized so that searches that began together do not poll together.
+async fn sleep_about(node: &Node, mean: Duration) {
     if mean.is_zero() {
         return;
     }
-    let part = node.state.borrow_mut().rng.random_range(0.5..1.5);
-    tokio::time::sleep(mean.mul_f64(part)).await;
+    let factor = node.state.borrow_mut().rng.random_range(0.5..1.5);
+    tokio::time::sleep(mean.mul_f64(factor)).await;
 }
 
-/// Chooses the decode engine to ask. For a late request there must be room for another one like it besides.
-fn choose(node: &Node, job: &Job, search: Search<'_>, tokens: u64) -> Option<EndpointKey> {
-    let Search { patience, prompt, tried } = search;
-    let local_prefill = prompt == PromptState::ByDecode;
+/// Chooses the decode engine to ask. A late request also needs headroom for another request of its size.
+fn choose(node: &Node, job: &Job, search: CapacitySearch<'_>, tokens: u64) -> Option<EndpointKey> {
+    let CapacitySearch { wait_policy, prompt, tried } = search;
+    let local_prefill = prompt == PromptState::LocalPrefill;
     let limit = job.service.engine.map(|e| e.tokens);
-    let headroom = patience.headroom(tokens);
+    let headroom = wait_policy.headroom(tokens);
     let stage = Some(Stage::Decode);
     node.choose_for(Need {
         stage,
@@ -164,7 +173,7 @@
     })
 }
 
-/// Asks one engine for room; gives the id of the reservation, or what the failure says of the engine and its name.
+/// Asks one engine for capacity. Returns the reservation's id, or the step's outcome and the failure's name.
 async fn reserve_at(
     node: &Node,
     job: &Job,
@@ -172,88 +181,89 @@
     (address, id): (SocketAddr, &str),
     tokens: u64,
 ) -> Result<String, (StepOutcome, &'static str)> {
-    let ttl = job.service.engine.map_or(CALL, |e| e.hold);
-    let until = (node.now() + CALL).min(job.until);
-    let answer = node.call_in_full(address, node.protocol.reserve(id, tokens, ttl), until).await;
+    let ttl = job.service.engine.map_or(CALL_TIMEOUT, |e| e.hold);
+    let until = (node.now() + CALL_TIMEOUT).min(job.deadline);
+    let answer = node.call_with_head(address, node.protocol.reserve(id, tokens, ttl), until).await;
     let answer = answer.map(|(head, body)| {
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            rates::answered(node, key, node.protocol.read_response(head.status, &head.headers).rate);
+            rates::observe_response(node, key, node.protocol.read_response(head.status, &head.headers).rate);
         }
         (head.status, body)
     });
-    let hold = match &answer {
+    let reservation_id = match &answer {
         Ok((StatusCode::OK, body)) => node.protocol.read_reservation(body),
         Ok(_) | Err(_) => None,
     };
-    let (verdict, outcome) = judge(&answer);
-    node.metrics.step("reserve", if hold.is_some() { "ok" } else { outcome });
-    hold.ok_or((verdict, outcome))
+    let (step_outcome, outcome) = classify(&answer);
+    node.metrics.count_step("reserve", if reservation_id.is_some() { "ok" } else { outcome });
+    reservation_id.ok_or((step_outcome, outcome))
 }
 
-/// What a call that brought no room says of its engine, and its name for logs.
-fn judge(answer: &Result<(StatusCode, Bytes), Failure>) -> (StepOutcome, &'static str) {
+/// The outcome of a reservation call without a reservation, and the failure's name for logs.
+fn classify(answer: &Result<(StatusCode, Bytes), ExchangeFailure>) -> (StepOutcome, &'static str) {
     match answer {
         Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _)) => {
             (StepOutcome::Full, "full")
         }
         Ok((StatusCode::MISDIRECTED_REQUEST, _)) => (StepOutcome::Unreachable, "misdirected"),
         Ok(_) => (StepOutcome::Failed, "failed"),
-        Err(Failure::Unsent) => (StepOutcome::Unreachable, Failure::Unsent.text()),
+        Err(ExchangeFailure::Unsent) => (StepOutcome::Unreachable, ExchangeFailure::Unsent.text()),
         Err(failure) => (StepOutcome::Failed, failure.text()),
     }
 }
 
-/// What a search for room was short of.
+/// What a search is short of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Want {
-    /// A decode engine that takes new work.
-    Open,
-    /// Room at one.
-    Room,
-    /// An instance that is not about to end.
+enum Shortage {
+    /// A decode engine that accepts new work.
+    DecodeEngine,
+    /// Capacity at a decode engine.
+    Capacity,
+    /// An instance that is not stopping.
     Instance,
-    /// A prefill engine that would be done in time.
-    Prefill,
+    /// A prefill engine that would finish in time.
+    PrefillEngine,
 }
 
-impl Want {
-    /// Stage of the engines of which it was short.
+impl Shortage {
+    /// Stage of the engines that the search is short of.
     const fn stage(self) -> Stage {
         match self {
-            Self::Prefill => Stage::Prefill,
-            Self::Open | Self::Room | Self::Instance => Stage::Decode,
+            Self::PrefillEngine => Stage::Prefill,
+            Self::DecodeEngine | Self::Capacity | Self::Instance => Stage::Decode,
         }
     }
 
     const fn text(self) -> &'static str {
         match self {
-            Self::Open => "none_open",
-            Self::Room => "full",
+            Self::DecodeEngine => "none_open",
+            Self::Capacity => "full",
             Self::Instance => "stopping",
-            Self::Prefill => "prefill_behind",
+            Self::PrefillEngine => "prefill_behind",
         }
     }
 }
 
-/// Whether a prefill that begins now is expected to end while the first event can still be on time, at the engine with
-/// the least in flight.
+/// Whether a prefill that begins now, at the engine with the least in flight, is expected to end while the
+/// first event can still be on time.
 ///
-/// Prompts that are sent all the same would make those behind them late as well, and a prefill that ends too late is
-/// lost.
-fn in_time(node: &Node, job: &Job, patience: WaitPolicy) -> bool {
+/// Prompts that were sent anyway would also make those queued behind them late, and a prefill that ends too
+/// late is wasted.
+fn prefill_in_time(node: &Node, job: &Job, wait_policy: WaitPolicy) -> bool {
     let prompt = job.meta.prompt_tokens;
     let chosen = node.choose_prefill(&job.service.name, &[], prompt);
     let state = node.state.borrow();
     let Some(key) = chosen else {
-        // Without any prefill engine the decode engine reads the prompt; for ones that name rates it is worth waiting.
+        // Without any prefill engine the decode engine prefills the prompt itself. Waiting is worthwhile only
+        // for rate-limited prefill engines.
         return state.endpoints.total_rate(node.now(), &job.service.name, Some(Stage::Prefill)).is_none();
     };
-    let pace = state.paces.get(&job.service.name).copied().unwrap_or_default();
-    pace.in_time(state.endpoints.load(key), prompt, patience.prefill_limit(&job.route))
+    let estimate = state.prefill_estimates.get(&job.service.name).copied().unwrap_or_default();
+    estimate.in_time(state.endpoints.load(key), prompt, wait_policy.prefill_limit(&job.route))
 }
 
-/// Whether any decode engine takes new work at all, full or not.
-fn is_served(node: &Node, job: &Job) -> bool {
+/// Whether any decode engine accepts new work, whether full or not.
+fn has_open_decode_engine(node: &Node, job: &Job) -> bool {
     let state = node.state.borrow();
     state.endpoints.open(node.now(), &job.service.name).any(|e| e.stage == Some(Stage::Decode))
 }
--- a/crates/forward/src/settings.rs
+++ b/crates/forward/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start, checked and then immutable.
+//! Settings of a process: read at its start, validated and then immutable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,36 +10,36 @@
 pub struct Settings {
     /// Name of the instance.
     pub instance: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub callers_address: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address of the readiness check.
     pub readiness_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics_address: Option<SocketAddr>,
-    /// Address at which other instances know this one.
+    /// Address by which other instances know this one.
     pub control_address: Option<SocketAddr>,
-    /// Control addresses of some instances, the same list everywhere.
+    /// Control addresses of some instances; the same list on every instance.
     pub seeds: Vec<SocketAddr>,
-    /// Port, the same on every instance, at which instances tell one another what they have in flight.
+    /// UDP and TCP port for gossip and snapshots between instances; the same on every instance.
     pub gossip_port: Option<u16>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
     /// Time between a request to stop and the kill.
     pub grace_time: Duration,
-    /// Time after a disturbance from which all bounds hold again.
+    /// Time after a disturbance within which all bounds hold again.
     pub recovery_bound: Duration,
-    /// Time within which a configuration version must be in force.
+    /// Time within which a configuration version must become active.
     pub apply_bound: Duration,
-    /// Time within which a leaving endpoint must get nothing new.
+    /// Time after which a leaving endpoint must get no new requests.
     pub drain_bound: Duration,
-    /// Terms for repeats.
+    /// Limits of the budget for second attempts.
     pub retry_budget: BudgetTerms,
-    /// Memory that the process may take, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: u64,
-    /// Failure domains of the deployment; 0 where nothing is said.
+    /// Failure domains of the deployment; 0 if unknown.
     pub domain_count: u32,
 }
--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -1,8 +1,8 @@
-//! Streams of events from an endpoint to a caller.
+//! Relays streams of events from an endpoint to a caller.
 //!
-//! A stream that breaks ends the caller's connection without an end mark, so that it does not look whole. A resumable
-//! one is taken up at another engine after the last event that the caller has; for that only whole events are passed
-//! on, since an engine may stop in the middle of one.
+//! A stream that breaks closes the caller's connection without an end mark, so that the stream does not look
+//! complete. A resumable stream resumes at another engine after the last event that the caller has. Only
+//! complete events of a resumable stream are relayed, since an engine may stop in the middle of one.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -14,64 +14,64 @@
 use slog::info;
 use teaselshunt_routing::{BodyKind, Repeat, StepOutcome};
 
-use crate::body::{AnswerBody, Pieces, relay as body_relay};
+use crate::body::{PieceSender, ResponseBody, relay as relay_channel};
 use crate::buffering::BufferedBytes;
 use crate::crashes;
 use crate::generate;
-use crate::node::{Answer, Job, Node, Slot};
+use crate::node::{Answer, InFlightWork, Job, Node};
 use crate::trace::Trace;
 
-/// The request behind a stream, and whether it can be taken up elsewhere.
+/// The request of a stream, and how often the stream may resume at another engine.
 #[derive(Debug)]
-pub(crate) struct Source {
+pub(crate) struct StreamJob {
     job: Job,
-    resumes: u32,
+    resumes_left: u32,
 }
 
-impl Source {
-    /// A stream that stays where it is.
-    pub(crate) fn fixed(job: Job) -> Self {
-        Self { job, resumes: 0 }
+impl StreamJob {
+    /// A stream that cannot resume.
+    pub(crate) fn not_resumable(job: Job) -> Self {
+        Self { job, resumes_left: 0 }
     }
 
-    /// A stream of a generation, which may be taken up where the route allows it.
+    /// A stream of a generation, which may resume where the route allows that.
     pub(crate) fn generation(job: Job) -> Self {
         let resumable = job.route.repeat == (Repeat::Stream { resumable: true });
-        let resumes = if resumable { job.route.attempts.saturating_sub(1) } else { 0 };
-        Self { job, resumes }
+        let resumes_left = if resumable { job.route.attempts.saturating_sub(1) } else { 0 };
+        Self { job, resumes_left }
     }
 }
 
-/// Pauses between events that callers aim for, after which the engine of a resumable stream counts as silent. Callers
-/// themselves leave after eight; a stream that is taken up elsewhere by then is still of use.
-const STALL: u32 = 4;
+/// Multiple of the route's gap goal after which the engine of a resumable stream counts as unresponsive.
+/// Callers disconnect after eight gaps, so that a stream that has resumed by then is still useful.
+const STALL_GAPS: u32 = 4;
 
 /// How one run of a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    Whole,
+enum RunEnd {
+    Complete,
     Broken,
     TimedOut,
-    CallerGone,
+    CallerDisconnected,
 }
 
-/// Answers with the head of a stream and passes its events on in a task of its own.
+/// Responds with the head of a stream and relays the events in a separate task.
 pub(crate) fn relay(
     node: &Rc<Node>,
-    source: Source,
+    stream_job: StreamJob,
     answer: Answer,
-    slot: Slot,
+    work: InFlightWork,
     trace: Trace,
-) -> Response<AnswerBody> {
-    trace.first();
+) -> Response<ResponseBody> {
+    trace.record_head();
     let (mut head, body) = answer.response.into_parts();
     crate::headers::strip(&mut head.headers);
     let status = head.status.as_u16();
-    let (pieces, receiver) = body_relay();
+    let (pieces, receiver) = relay_channel();
     let run =
-        Run { body, connection: answer.connection, endpoint: answer.endpoint, begun: answer.begun, slot };
-    tokio::task::spawn_local(pump(Rc::clone(node), source, run, pieces, trace, status));
-    Response::from_parts(head, AnswerBody::relay(receiver))
+        Run { body, connection: answer.connection, endpoint: answer.endpoint, sent_at: answer.sent_at, work };
+    tokio::task::spawn_local(relay_runs(Rc::clone(node), stream_job, run, pieces, trace, status));
+    Response::from_parts(head, ResponseBody::relay(receiver))
 }
 
 /// One run at one engine.
@@ -79,124 +79,138 @@
     body: Incoming,
     connection: crate::connection_pool::Connection,
     endpoint: teaselshunt_routing::EndpointKey,
-    begun: Instant,
-    slot: Slot,
+    sent_at: Instant,
+    work: InFlightWork,
 }
 
-async fn pump(node: Rc<Node>, mut source: Source, mut run: Run, pieces: Pieces, trace: Trace, status: u16) {
+async fn relay_runs(
+    node: Rc<Node>,
+    mut stream_job: StreamJob,
+    mut run: Run,
+    pieces: PieceSender,
+    trace: Trace,
+    status: u16,
+) {
     let mut events = Events::default();
-    let whole_only = source.resumes > 0;
+    let complete_only = stream_job.resumes_left > 0;
     loop {
-        let Run { endpoint, begun, .. } = run;
-        let end = pass(&source.job, run, &pieces, &mut events, whole_only, &node, &trace).await;
+        let Run { endpoint, sent_at, .. } = run;
+        let end = relay_run(&stream_job.job, run, &pieces, &mut events, complete_only, &node, &trace).await;
         match end {
-            End::Whole => {
-                node.served(&source.job);
-                node.learn_output(&source.job, trace.events());
+            RunEnd::Complete => {
+                node.observe_success(&stream_job.job);
+                node.observe_output(&stream_job.job, trace.events());
                 pieces.end();
                 return trace.end("answered", status);
             }
-            End::CallerGone => {
-                crashes::left(&node, &source.job, endpoint, begun);
+            RunEnd::CallerDisconnected => {
+                crashes::record_abandoned(&node, &stream_job.job, endpoint, sent_at);
                 return trace.end("caller_gone", status);
             }
-            End::TimedOut => return trace.end("deadline_passed", status),
-            End::Broken => node.learn(endpoint, StepOutcome::Failed),
+            RunEnd::TimedOut => return trace.end("deadline_passed", status),
+            RunEnd::Broken => node.observe_step(endpoint, StepOutcome::Failed),
         }
-        trace.step("stream", &node.name(endpoint), "broken");
-        crashes::check(&node, &source.job, &trace, endpoint, begun);
-        let next = if source.resumes > 0 && events.last.is_some() {
-            source.resumes -= 1;
-            generate::resume(&node, &mut source.job, &events, endpoint, &trace).await
+        trace.record_step("stream", &node.id_for_log(endpoint), "broken");
+        crashes::check_endpoint(&node, &stream_job.job, &trace, endpoint, sent_at);
+        let next = if stream_job.resumes_left > 0 && events.last_id.is_some() {
+            stream_job.resumes_left -= 1;
+            generate::resume(&node, &mut stream_job.job, &events, endpoint, &trace).await
         } else {
             None
         };
-        let Some((answer, slot)) = next else {
+        let Some((answer, work)) = next else {
             return trace.end("broken_stream", status);
         };
         events.partial.clear();
-        info!(node.log, "stream taken up"; "id" => &source.job.meta.id, "after" => events.last.as_deref());
+        info!(node.log, "stream resumed at another engine"; "id" => &stream_job.job.meta.id, "after" => events.last_id.as_deref());
         let (_, body) = answer.response.into_parts();
-        run =
-            Run { body, connection: answer.connection, endpoint: answer.endpoint, begun: answer.begun, slot };
+        run = Run {
+            body,
+            connection: answer.connection,
+            endpoint: answer.endpoint,
+            sent_at: answer.sent_at,
+            work,
+        };
     }
 }
 
-async fn pass(
+async fn relay_run(
     job: &Job,
     run: Run,
-    pieces: &Pieces,
+    pieces: &PieceSender,
     events: &mut Events,
-    whole_only: bool,
+    complete_only: bool,
     node: &Rc<Node>,
     trace: &Trace,
-) -> End {
-    let Run { mut body, connection, mut slot, .. } = run;
+) -> RunEnd {
+    let Run { mut body, connection, mut work, .. } = run;
     loop {
-        let stall = job.route.gap.filter(|_| whole_only).map(|gap| node.now() + gap * STALL);
-        let wait = stall.map_or(job.until, |at| at.min(job.until));
+        let stall = job.route.gap.filter(|_| complete_only).map(|gap| node.now() + gap * STALL_GAPS);
+        let wait = stall.map_or(job.deadline, |at| at.min(job.deadline));
         let frame = tokio::select! {
             biased;
-            () = pieces.closed() => return End::CallerGone,
+            () = pieces.closed() => return RunEnd::CallerDisconnected,
             frame = tokio::time::timeout_at(wait.into(), body.frame()) => frame,
         };
         let data = match frame {
-            Err(_) if node.now() < job.until => return End::Broken,
-            Err(_) => return End::TimedOut,
-            Ok(Some(Err(_))) => return End::Broken,
-            Ok(None) if whole_only && !events.partial.is_empty() => return End::Broken,
+            Err(_) if node.now() < job.deadline => return RunEnd::Broken,
+            Err(_) => return RunEnd::TimedOut,
+            Ok(Some(Err(_))) => return RunEnd::Broken,
+            Ok(None) if complete_only && !events.partial.is_empty() => return RunEnd::Broken,
             Ok(None) => {
                 node.pool.put(connection);
-                drop(slot);
-                return End::Whole;
+                drop(work);
+                return RunEnd::Complete;
             }
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(data) => data,
                 Err(_) => continue,
             },
         };
-        trace.passed(events.count(&data));
-        if let Some(made) = node.made(job, trace.events()).filter(|_| job.service.engine.is_some()) {
-            account(&mut slot, job.meta.prompt_tokens, made);
+        trace.record_events(events.count(&data));
+        if let Some(produced) =
+            node.tokens_for_events(job, trace.events()).filter(|_| job.service.engine.is_some())
+        {
+            account_growth(&mut work, job.meta.prompt_tokens, produced);
         }
-        let data = if whole_only { events.take(&data) } else { data };
+        let data = if complete_only { events.take_complete(&data) } else { data };
         if data.is_empty() {
             continue;
         }
-        // A caller that reads slowly holds its engine no longer than it waits for.
+        // A slow caller occupies its engine no longer than until its deadline.
         let sent = pieces.send(data, BufferedBytes::new(node, BodyKind::Response));
-        match tokio::time::timeout_at(job.until.into(), sent).await {
+        match tokio::time::timeout_at(job.deadline.into(), sent).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) => return End::CallerGone,
-            Err(_) => return End::TimedOut,
+            Ok(Err(_)) => return RunEnd::CallerDisconnected,
+            Err(_) => return RunEnd::TimedOut,
         }
     }
 }
 
-/// Part by which a generation that has made more than was expected is expected to go on: what is left of a lognormal
-/// variable with the spread that estimates leave, beyond its median.
-const GROWTH: f64 = 1.25;
+/// Expected final length of a generation that has exceeded its estimate, as a multiple of its current length:
+/// the expected rest of a lognormal variable beyond its median, with the spread of the estimates.
+const GROWTH_FACTOR: f64 = 1.25;
 
-/// Accounts for a generation that makes more than was expected, so that nobody sends another one to an engine whose memory
-/// is about to run out. An engine without memory puts streams back in the middle: their callers see a pause, and their
-/// prompts are read again.
-fn account(slot: &mut Slot, prompt: u64, made: u64) {
-    if prompt + made > slot.tokens() {
-        slot.grow(prompt + (made as f64 * GROWTH) as u64);
+/// Accounts for a generation that exceeds its expected length, so that no further generation is sent to an
+/// engine whose memory is about to run out. An engine without memory evicts running streams: their callers
+/// see a pause, and their prompts are prefilled again.
+fn account_growth(work: &mut InFlightWork, prompt: u64, produced: u64) {
+    if prompt + produced > work.tokens() {
+        work.grow(prompt + (produced as f64 * GROWTH_FACTOR) as u64);
     }
 }
 
-/// Cuts a stream into whole events and remembers the id of the last one.
+/// Splits a stream into complete events and remembers the id of the last one.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
     pub(crate) partial: BytesMut,
-    pub(crate) last: Option<String>,
-    /// Whether the bytes so far end with a line's end.
+    pub(crate) last_id: Option<String>,
+    /// Whether the bytes so far end with a newline.
     line_ended: bool,
 }
 
 impl Events {
-    /// How many events end in these bytes; an event ends with an empty line.
+    /// Counts the events that end in these bytes; an event ends with an empty line.
     fn count(&mut self, data: &[u8]) -> u32 {
         let mut count = 0;
         for &byte in data {
@@ -206,17 +220,17 @@
         count
     }
 
-    /// Adds bytes and gives back the whole events that are there now.
-    pub(crate) fn take(&mut self, data: &[u8]) -> Bytes {
+    /// Appends bytes and returns the events that are now complete.
+    pub(crate) fn take_complete(&mut self, data: &[u8]) -> Bytes {
         self.partial.extend_from_slice(data);
         let Some(end) = self.partial.windows(2).rposition(|w| w == b"\n\n") else {
             return Bytes::new();
         };
-        let whole = self.partial.split_to(end + 2).freeze();
-        let text = String::from_utf8_lossy(&whole);
+        let complete = self.partial.split_to(end + 2).freeze();
+        let text = String::from_utf8_lossy(&complete);
         if let Some(id) = text.lines().rev().find_map(|line| line.strip_prefix("id:")) {
-            self.last = Some(id.trim().to_owned());
+            self.last_id = Some(id.trim().to_owned());
         }
-        whole
+        complete
     }
 }
--- a/crates/forward/src/supervisor.rs
+++ b/crates/forward/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an instance and ends the process after a planned stop.
+//! Starts the tasks of an instance and ends the process after a graceful shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::LocalSet;
 
-use crate::catalog::{Catalog, give_copies};
+use crate::catalog::{Catalog, serve_snapshots};
 use crate::connection_pool::ConnectionPool;
 use crate::metrics::Metrics;
 use crate::node::{Node, Phase, State};
@@ -26,25 +26,27 @@
 use crate::settings::Settings;
 use crate::{gossip, listeners, logs, orders};
 
-/// How instances keep to teams' limits.
-const WAY: QuotaMode = QuotaMode::Shared;
-/// Part of the process's memory for bodies that somebody has not read yet. The rest is for connections, lists and the
-/// allocator's own.
-const HELD_PART: f64 = 0.4;
-/// Pause between two rounds of housekeeping.
-const HOUSEKEEPING: Duration = Duration::from_millis(200);
-/// Time in which a balancer that asks each second and needs two misses has taken the instance out.
-const LEAVING: Duration = Duration::from_millis(2600);
-/// Time after which no stream is begun: what is begun must end within the grace time, and streams take seconds.
-const REFUSING: Duration = Duration::from_millis(2850);
-/// End of the grace time in which nothing is begun; over the usual timeout of short requests.
-const ENDING: Duration = Duration::from_millis(1800);
-/// Kept of the grace time for the process to end by itself.
-const MARGIN: Duration = Duration::from_millis(400);
-/// Pause between two looks whether all requests have ended.
-const LOOK: Duration = Duration::from_millis(50);
+/// How instances divide teams' rate limits.
+const QUOTA_MODE: QuotaMode = QuotaMode::Shared;
+/// Fraction of the process's memory for bodies that callers or endpoints have not read yet. The rest is for
+/// connections, lists and the allocator.
+const BUFFER_FRACTION: f64 = 0.4;
+/// Interval of periodic tasks.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after which a balancer that checks each second and needs two failed checks has removed the instance.
+const BALANCER_REMOVAL_TIME: Duration = Duration::from_millis(2600);
+/// Time after which no stream is started: started requests must end within the grace time, and streams take
+/// seconds.
+const STREAM_REFUSAL_TIME: Duration = Duration::from_millis(2850);
+/// Final time of the grace time in which no request is started; longer than the usual timeout of short
+/// requests.
+const FINAL_REFUSAL_TIME: Duration = Duration::from_millis(1800);
+/// Time reserved at the end of the grace time for the process to exit by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Interval at which a shutdown polls whether all requests have ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an instance cannot start.
+/// Reason why an instance cannot start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
@@ -53,22 +55,22 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Cause reported by the operating system.
         error: std::io::Error,
     },
-    /// The operating system gives no timer or signal.
+    /// The operating system provides no runtime or signal handler.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The metrics cannot be made.
+    /// The metrics cannot be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// Runs an instance until a planned stop is complete. `reload` reads the settings again when a signal asks for it
-/// and says what is wrong with them.
+/// Runs an instance until a graceful shutdown is complete. `reload` reads the settings again after a signal
+/// and returns the validation error, if there is one.
 ///
 /// # Errors
-/// It cannot start.
+/// The instance cannot start.
 pub fn run(
     settings: Settings,
     protocol: Box<dyn Protocol>,
@@ -88,24 +90,24 @@
     let log = logs::start(&settings.instance, &settings.domain);
     let callers = listen(settings.callers_address).await?;
     let ready = listen(settings.readiness_address).await?;
-    let start_of_all = if settings.first_start { StartKind::First } else { StartKind::Subsequent };
+    let start_kind = if settings.first_start { StartKind::First } else { StartKind::Subsequent };
     let domains = (tag(&settings.domain), settings.domain_count);
-    let quotas = Quotas::new(SystemClock.uptime(), WAY, start_of_all, domains);
+    let quotas = Quotas::new(SystemClock.uptime(), QUOTA_MODE, start_kind, domains);
     let node = Rc::new(Node {
         state: RefCell::new(State {
             routes: None,
             endpoints: Endpoints::default(),
             budgets: Budgets::new(settings.retry_budget, rand::random()),
             rng: SmallRng::from_os_rng(),
-            paces: HashMap::new(),
-            outputs: HashMap::new(),
-            allowances: RetryDetector::default(),
-            refused: Refusals::default(),
+            prefill_estimates: HashMap::new(),
+            output_estimates: HashMap::new(),
+            retry_detector: RetryDetector::default(),
+            refusals: Refusals::default(),
             quarantine: Quarantine::default(),
             quotas,
-            memory: BodyMemory::new((settings.memory_bytes as f64 * HELD_PART) as u64),
-            whole: false,
-            listed: None,
+            memory: BodyMemory::new((settings.memory_bytes as f64 * BUFFER_FRACTION) as u64),
+            list_complete: false,
+            list_confirmed: None,
         }),
         protocol,
         clock: Arc::new(SystemClock),
@@ -113,33 +115,33 @@
         metrics: Metrics::new()?,
         log,
         phase: watch::Sender::new(Phase::Serving),
-        changed: Notify::new(),
-        peers: Cell::new(0),
+        gossip_wakeup: Notify::new(),
+        peer_count: Cell::new(0),
         connections: Cell::new(0),
         losses: RefCell::default(),
         abandoned: RefCell::default(),
-        warned: Cell::new(None),
+        rate_warned: Cell::new(None),
         settings,
     });
     info!(node.log, "started"; "callers" => %node.settings.callers_address, "store" => %node.settings.store_address,
         "first" => node.settings.first_start);
-    start(&node, "callers", listeners::callers(Rc::clone(&node), callers));
-    start(&node, "ready", listeners::readiness(Rc::clone(&node), ready));
+    spawn(&node, "callers", listeners::callers(Rc::clone(&node), callers));
+    spawn(&node, "ready", listeners::readiness(Rc::clone(&node), ready));
     if let Some(address) = node.settings.metrics_address {
-        start(&node, "metrics", listeners::metrics(Rc::clone(&node), address));
+        spawn(&node, "metrics", listeners::metrics(Rc::clone(&node), address));
     }
-    let (sender, tellings) = mpsc::channel(gossip::TELLINGS);
+    let (sender, updates) = mpsc::channel(gossip::UPDATE_QUEUE);
     let catalog = Rc::new(Catalog::new(&node, sender));
-    start(&node, "store", Rc::clone(&catalog).run());
+    spawn(&node, "store", Rc::clone(&catalog).run());
     if let Some(port) = node.settings.gossip_port {
-        start(&node, "copies", give_copies(Rc::clone(&catalog), Rc::clone(&node), port));
-        start(&node, "peers", gossip::run(catalog, Rc::clone(&node), port, tellings));
+        spawn(&node, "copies", serve_snapshots(Rc::clone(&catalog), Rc::clone(&node), port));
+        spawn(&node, "peers", gossip::run(catalog, Rc::clone(&node), port, updates));
     }
-    start(&node, "orders", orders::run(Rc::clone(&node)));
-    start(&node, "housekeeping", housekeeping(Rc::clone(&node)));
-    start(&node, "reload", reloads(Rc::clone(&node), hangup, reload));
+    spawn(&node, "orders", orders::run(Rc::clone(&node)));
+    spawn(&node, "housekeeping", maintenance(Rc::clone(&node)));
+    spawn(&node, "reload", handle_reloads(Rc::clone(&node), hangup, reload));
     terminate.recv().await;
-    stop(&node).await;
+    shut_down(&node).await;
     Ok(())
 }
 
@@ -147,76 +149,77 @@
     TcpListener::bind(address).await.map_err(|error| StartError::Listen { address, error })
 }
 
-/// Starts a part. If it panics the process ends: an instance without one of its parts would answer callers with
-/// refusals that nobody understands, while a new process is there in a moment.
-fn start(node: &Rc<Node>, name: &'static str, part: impl Future<Output = ()> + 'static) {
+/// Starts a task. If the task panics the process exits: an instance without one of its tasks would answer
+/// callers with misleading refusals, while a new process starts quickly.
+fn spawn(node: &Rc<Node>, name: &'static str, task: impl Future<Output = ()> + 'static) {
     let log = node.log.clone();
-    let task = tokio::task::spawn_local(part);
+    let handle = tokio::task::spawn_local(task);
     tokio::task::spawn_local(async move {
-        if let Err(failure) = task.await {
+        if let Err(failure) = handle.await {
             error!(log, "a part ended"; "part" => name, "failure" => %failure);
             std::process::exit(1);
         }
     });
 }
 
-async fn housekeeping(node: Rc<Node>) {
+async fn maintenance(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(HOUSEKEEPING).await;
-        node.pool.sweep();
-        node.pool.keep_at_most(idle_share(&node));
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+        node.pool.close_expired();
+        node.pool.set_max_idle(max_idle_connections(&node));
         node.state.borrow_mut().endpoints.ledger().expire(node.now());
         node.state.borrow_mut().quarantine.expire(node.now());
         node.state.borrow_mut().quotas.tick(node.clock.uptime());
         node.state.borrow_mut().endpoints.expire_rates(node.now());
-        node.metrics.limited.set(node.state.borrow_mut().endpoints.rates().len() as i64);
-        let gone = node.state.borrow_mut().endpoints.remove_unconfirmed(node.now());
-        for id in gone {
+        node.metrics.limited_endpoints.set(node.state.borrow_mut().endpoints.rates().len() as i64);
+        let removed = node.state.borrow_mut().endpoints.remove_unconfirmed(node.now());
+        for id in removed {
             info!(node.log, "endpoint"; "endpoint" => &*id, "state" => "gone");
         }
     }
 }
 
 /// Idle connections to one endpoint that this instance may keep.
-fn idle_share(node: &Node) -> Option<usize> {
+fn max_idle_connections(node: &Node) -> Option<usize> {
     let state = node.state.borrow();
-    let instances = node.peers.get() + 1;
+    let instances = node.peer_count.get() + 1;
     state.routes.as_ref()?.services().map(|service| service.max_idle_connections(instances)).min()
 }
 
-/// Reads the settings again on request. Addresses and names are fixed for the life of a process, so that a change
-/// of them is only logged; it takes effect at the next start.
-async fn reloads(node: Rc<Node>, mut hangup: Signal, reload: impl Fn() -> Result<Settings, String>) {
+/// Reads the settings again on request. Addresses and names are fixed while a process runs, so that the
+/// result is only logged; changes apply at the next start.
+async fn handle_reloads(node: Rc<Node>, mut hangup: Signal, reload: impl Fn() -> Result<Settings, String>) {
     while hangup.recv().await.is_some() {
         match reload() {
             Ok(_) => info!(node.log, "reloaded"),
-            Err(cause) => warn!(node.log, "settings refused"; "cause" => cause),
+            Err(cause) => warn!(node.log, "invalid settings"; "cause" => cause),
         }
     }
 }
 
-/// How far a planned stop is after some time; a short grace time shrinks the first steps.
-fn phase_at(past: Duration, grace: Duration) -> Phase {
-    if past >= grace.saturating_sub(ENDING) {
+/// Phase of a graceful shutdown after some time; a short grace time shortens the first phases.
+fn phase_at(elapsed: Duration, grace: Duration) -> Phase {
+    if elapsed >= grace.saturating_sub(FINAL_REFUSAL_TIME) {
         Phase::Ending
-    } else if past >= REFUSING.min(grace / 2) {
+    } else if elapsed >= STREAM_REFUSAL_TIME.min(grace / 2) {
         Phase::Refusing
-    } else if past >= LEAVING.min(grace / 3) {
+    } else if elapsed >= BALANCER_REMOVAL_TIME.min(grace / 3) {
         Phase::Closing
     } else {
         Phase::Leaving
     }
 }
 
-/// A planned stop: the balancer is told first, then idle connections are closed, then new requests are refused.
-async fn stop(node: &Rc<Node>) {
-    let begun = node.now();
+/// Performs a graceful shutdown: readiness ends for the balancer first, then idle connections are closed,
+/// then new requests are refused.
+async fn shut_down(node: &Rc<Node>) {
+    let started = node.now();
     let grace = node.settings.grace_time;
     info!(node.log, "stopping"; "connections" => node.connections.get());
     let mut phase = Phase::Serving;
     loop {
-        let past = node.now().duration_since(begun);
-        let next = phase_at(past, grace);
+        let elapsed = node.now().duration_since(started);
+        let next = phase_at(elapsed, grace);
         if next != phase {
             phase = next;
             node.phase.send_replace(phase);
@@ -225,11 +228,11 @@
         if idle && phase >= Phase::Closing {
             break;
         }
-        if past >= grace.saturating_sub(MARGIN) {
-            warn!(node.log, "requests are cut off"; "running" => node.metrics.running.get());
+        if elapsed >= grace.saturating_sub(EXIT_MARGIN) {
+            warn!(node.log, "exiting with requests in progress"; "running" => node.metrics.running.get());
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
-    info!(node.log, "stopped"; "took_ms" => node.now().duration_since(begun).as_millis() as u64);
+    info!(node.log, "stopped"; "took_ms" => node.now().duration_since(started).as_millis() as u64);
 }
--- a/crates/forward/src/trace.rs
+++ b/crates/forward/src/trace.rs
@@ -1,4 +1,4 @@
-//! The story of one request, written as one log line at its end.
+//! Trace of one request, written as one log line at its end.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -13,7 +13,8 @@
 use crate::node::Node;
 use crate::protocol::RequestMeta;
 
-/// What is told of a request. Dropped without an end it says that the caller has gone.
+/// Data about a request for logs and metrics. Dropping it before its end records that the caller has
+/// disconnected.
 #[derive(Debug)]
 pub(crate) struct Trace {
     node: Rc<Node>,
@@ -21,32 +22,32 @@
     kind: &'static str,
     route: Arc<str>,
     version: u64,
-    /// Name of the caller's team; empty where it has none.
+    /// Name of the caller's team; empty where the caller has none.
     team: Arc<str>,
     arrived: Instant,
     steps: RefCell<String>,
-    /// How long the caller waits, as it says.
+    /// How long the caller waits, as stated in the request.
     deadline: Option<Duration>,
-    /// Whether the caller was refused before.
-    returns: bool,
-    size: Size,
-    /// Events that were passed on.
+    /// Whether the request is a retry after a refusal.
+    is_retry: bool,
+    expected: ExpectedSize,
+    /// Events that were relayed.
     events: Cell<u32>,
-    /// When the first and the last of them were.
-    span: Cell<Option<(Instant, Instant)>>,
-    /// Longest time between two of them.
-    pause: Cell<Duration>,
-    /// What it asks for, once that matters.
+    /// When the first and the last event were relayed.
+    first_and_last: Cell<Option<(Instant, Instant)>>,
+    /// Longest time between two events.
+    longest_gap: Cell<Duration>,
+    /// Fingerprint of the request; set only when needed.
     fingerprint: Cell<Option<Fingerprint>>,
     ended: bool,
 }
 
-/// What a generation was expected to need, in tokens; all 0 for a plain request.
+/// Expected size of a generation, in tokens; all 0 for a plain request.
 #[derive(Debug, Clone, Copy, Default)]
-struct Size {
-    prompt: u64,
-    output: u64,
-    hint: Option<u64>,
+struct ExpectedSize {
+    prompt_tokens: u64,
+    max_output_tokens: u64,
+    output_hint: Option<u64>,
 }
 
 impl Trace {
@@ -62,42 +63,45 @@
             arrived,
             steps: RefCell::default(),
             deadline: meta.deadline,
-            returns: false,
-            size: Size { prompt: meta.prompt_tokens, output: meta.max_output_tokens, hint: meta.output_hint },
+            is_retry: false,
+            expected: ExpectedSize {
+                prompt_tokens: meta.prompt_tokens,
+                max_output_tokens: meta.max_output_tokens,
+                output_hint: meta.output_hint,
+            },
             events: Cell::new(0),
-            span: Cell::new(None),
-            pause: Cell::new(Duration::ZERO),
+            first_and_last: Cell::new(None),
+            longest_gap: Cell::new(Duration::ZERO),
             fingerprint: Cell::new(None),
             ended: false,
         }
     }
 
-    /// The route that was found, and in which version.
-    pub(crate) fn routed(&mut self, kind: &'static str, route: &Arc<str>, version: u64) {
+    /// Records the matched route and the version of the configuration.
+    pub(crate) fn set_route(&mut self, kind: &'static str, route: &Arc<str>, version: u64) {
         self.kind = kind;
         self.route = Arc::clone(route);
         self.version = version;
     }
 
-    /// The caller's team.
-    pub(crate) fn team(&mut self, team: Option<&Team>) {
+    pub(crate) fn set_team(&mut self, team: Option<&Team>) {
         if let Some(team) = team {
             self.team = Arc::clone(&team.name);
         }
     }
 
-    /// Whether the caller was refused before.
-    pub(crate) fn returns(&mut self, returns: bool) {
-        self.returns = returns;
+    /// Records whether the request is a retry after a refusal.
+    pub(crate) fn set_retry(&mut self, is_retry: bool) {
+        self.is_retry = is_retry;
     }
 
-    /// What the request asks for, by which it is known if it comes again.
-    pub(crate) fn fingerprint(&self, fingerprint: Fingerprint) {
+    /// Records the fingerprint, which identifies the request if it is sent again.
+    pub(crate) fn set_fingerprint(&self, fingerprint: Fingerprint) {
         self.fingerprint.set(Some(fingerprint));
     }
 
-    /// A step at an endpoint ended.
-    pub(crate) fn step(&self, step: &str, endpoint: &str, outcome: &str) {
+    /// Records the end of a step at an endpoint.
+    pub(crate) fn record_step(&self, step: &str, endpoint: &str, outcome: &str) {
         let at = self.node.now().duration_since(self.arrived).as_millis();
         let mut steps = self.steps.borrow_mut();
         let gap = if steps.is_empty() { "" } else { " " };
@@ -105,30 +109,30 @@
         let _ = write!(steps, "{gap}{step}@{endpoint}={outcome}+{at}ms");
     }
 
-    /// So many more events of a stream go to the caller.
-    pub(crate) fn passed(&self, events: u32) {
+    /// Records that further events of a stream are relayed.
+    pub(crate) fn record_events(&self, events: u32) {
         if events == 0 {
             return;
         }
         self.events.set(self.events.get() + events);
         let now = self.node.now();
-        let (first, last) = self.span.get().unwrap_or((now, now));
-        self.pause.set(self.pause.get().max(now.duration_since(last)));
-        self.span.set(Some((first, now)));
+        let (first, last) = self.first_and_last.get().unwrap_or((now, now));
+        self.longest_gap.set(self.longest_gap.get().max(now.duration_since(last)));
+        self.first_and_last.set(Some((first, now)));
     }
 
-    /// Events that were passed on.
+    /// Events that were relayed.
     pub(crate) fn events(&self) -> u32 {
         self.events.get()
     }
 
-    /// The head of the answer goes to the caller.
-    pub(crate) fn first(&self) {
+    /// Records that the head of the response is sent to the caller.
+    pub(crate) fn record_head(&self) {
         let took = self.node.now().duration_since(self.arrived);
-        self.node.metrics.first.with_label_values(&[self.kind]).observe(took.as_secs_f64());
+        self.node.metrics.time_to_head.with_label_values(&[self.kind]).observe(took.as_secs_f64());
     }
 
-    /// The request has its final answer.
+    /// Records the final outcome.
     pub(crate) fn end(mut self, outcome: &str, status: u16) {
         self.write(outcome, status);
     }
@@ -139,8 +143,8 @@
         }
         let took = self.node.now().duration_since(self.arrived);
         self.node.metrics.running.dec();
-        self.node.metrics.ended(self.kind, outcome, took);
-        self.node.metrics.team(&self.team, outcome);
+        self.node.metrics.count_request(self.kind, outcome, took);
+        self.node.metrics.count_team_request(&self.team, outcome);
         info!(self.node.log, "request";
             "id" => &self.id,
             "kind" => self.kind,
@@ -149,13 +153,13 @@
             "team" => &*self.team,
             "list_age_ms" => self.node.list_age().map(millis),
             "deadline_ms" => self.deadline.map(millis),
-            "returns" => self.returns,
-            "prompt" => self.size.prompt,
-            "output" => self.size.output,
-            "hint" => self.size.hint,
+            "returns" => self.is_retry,
+            "prompt" => self.expected.prompt_tokens,
+            "output" => self.expected.max_output_tokens,
+            "hint" => self.expected.output_hint,
             "events" => self.events.get(),
-            "first_ms" => self.span.get().map(|(first, _)| millis(first.duration_since(self.arrived))),
-            "pause_ms" => millis(self.pause.get()),
+            "first_ms" => self.first_and_last.get().map(|(first, _)| millis(first.duration_since(self.arrived))),
+            "pause_ms" => millis(self.longest_gap.get()),
             "fingerprint" => self.fingerprint.get().map(|f| f.to_string()),
             "steps" => self.steps.borrow().as_str(),
             "outcome" => outcome,
