--- a/crates/forward/src/catalog/snapshots.rs
+++ b/crates/forward/src/catalog/snapshots.rs
@@ -6,9 +6,9 @@
 //! asks for the complete list.
 //!
 //! A snapshot carries the era and revision of its list and the age of the store's last confirmation. It
-//! contains only endpoints that the list shows without doubt. While entries are unconfirmed here, because
-//! they may have expired or stand in a backup of the store, no snapshot is served: the recipient could not
-//! tell such entries from the others.
+//! contains only endpoints that the list alone confirms. While entries are unconfirmed here, because they may
+//! have expired or stand in a backup of the store, no snapshot is served: the recipient could not tell such
+//! entries from the others.
 //!
 //! A snapshot is trusted like a store update: it comes from a peer of the same failure domain, which is not
 //! authenticated.
--- a/crates/forward/src/generate.rs
+++ b/crates/forward/src/generate.rs
@@ -39,11 +39,11 @@
 /// Serves a generation.
 pub(crate) async fn run(node: &Rc<Node>, job: Job, trace: Trace) -> Response<ResponseBody> {
     let wait_policy = WaitPolicy::for_arrival(job.arrived, job.deadline, &job.route, job.is_retry);
-    let (answer, work) = match start(node, &job, &trace, wait_policy, Prompt::NotPrefilled, Vec::new()).await
-    {
-        Ok(started) => started,
-        Err(refusal) => return refuse(node, refusal, trace),
-    };
+    let (answer, work) =
+        match start_generation(node, &job, &trace, wait_policy, Prompt::NotPrefilled, Vec::new()).await {
+            Ok(started) => started,
+            Err(refusal) => return refuse(node, refusal, trace),
+        };
     if answer.response.status().is_success() {
         return stream::relay(node, StreamJob::generation(job), answer, work, trace);
     }
@@ -73,7 +73,7 @@
     job.headers.insert("last-event-id", last_event_id);
     let wait_policy = WaitPolicy::for_resume(node.now(), job.deadline);
     let (answer, work) =
-        start(node, job, trace, wait_policy, Prompt::LocalPrefill, vec![broken]).await.ok()?;
+        start_generation(node, job, trace, wait_policy, Prompt::LocalPrefill, vec![broken]).await.ok()?;
     (answer.response.status() == StatusCode::OK).then_some((answer, work))
 }
 
@@ -106,7 +106,7 @@
     LocalPrefill,
 }
 
-async fn start(
+async fn start_generation(
     node: &Rc<Node>,
     job: &Job,
     trace: &Trace,
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -30,8 +30,8 @@
 use crate::node::{Node, Phase};
 use crate::rates::{self, RateEntry};
 
-/// How long all crash reports that keep requests in quarantine are sent after a new peer was heard, which may
-/// not know them. This is several gossip intervals, since datagrams are lost.
+/// How long all crash reports that keep requests in quarantine are sent after a new peer was observed, which
+/// may not know them. This is several gossip intervals, since datagrams are lost.
 const NEW_PEER_WINDOW: Duration = Duration::from_secs(2);
 /// Largest datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
@@ -93,7 +93,7 @@
 
 /// Trailer of a datagram that differs between recipients.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct Tail {
+struct Trailer {
     /// Some other peers.
     named: Vec<SocketAddr>,
     /// Longest time until the sender sends its next report, in milliseconds.
@@ -169,13 +169,13 @@
     incarnation: u64,
     sequence: u64,
     started: Instant,
-    /// When a new peer, or a new incarnation of a known peer, was last heard.
+    /// When a new peer, or a new incarnation of a known peer, was last observed.
     new_peer_at: Option<Instant>,
 }
 
 impl Gossip {
     fn receive(&mut self, from: SocketAddr, data: &[u8]) {
-        let Ok((datagram, tail)) = postcard::from_bytes::<(Datagram, Tail)>(data) else { return };
+        let Ok((datagram, trailer)) = postcard::from_bytes::<(Datagram, Trailer)>(data) else { return };
         if datagram.version != VERSION {
             return;
         }
@@ -185,7 +185,7 @@
                 if same_domain {
                     self.catalog.observe_snapshot_source(from, report.snapshot_revision);
                 }
-                self.receive_report(from, datagram.domain, report, tail);
+                self.receive_report(from, datagram.domain, report, trailer);
             }
             Content::StoreUpdate(update) if same_domain && self.peers.contains(from) => {
                 self.catalog.merge_update(from, update);
@@ -194,15 +194,15 @@
         }
     }
 
-    fn receive_report(&mut self, from: SocketAddr, domain: u32, report: Report, tail: Tail) {
+    fn receive_report(&mut self, from: SocketAddr, domain: u32, report: Report, trailer: Trailer) {
         let now = self.node.now();
-        let next = Duration::from_millis(u64::from(tail.next));
+        let next = Duration::from_millis(u64::from(trailer.next));
         if self.peers.observe(now, from, domain, next) {
             // A starting peer waits to learn the other instances.
             self.node.gossip_wakeup.notify_one();
             info!(self.node.log, "peer"; "address" => %from, "state" => "known", "peers" => self.peers.len());
         }
-        for peer in tail.named {
+        for peer in trailer.named {
             if peer != self.own && peer.port() == self.own.port() {
                 self.peers.add_reported(now, peer);
             }
@@ -326,8 +326,8 @@
         for peer in targets {
             let domain = self.peers.domain_of(peer);
             let data = encoded.entry(domain).or_insert_with(|| {
-                let tail = if is_report { self.tail(domain) } else { Tail::default() };
-                postcard::to_extend(&tail, data.clone()).unwrap_or_default()
+                let trailer = if is_report { self.trailer(domain) } else { Trailer::default() };
+                postcard::to_extend(&trailer, data.clone()).unwrap_or_default()
             });
             // A datagram that cannot be sent is treated like a lost one.
             let _ = socket.send_to(data, peer).await;
@@ -335,10 +335,10 @@
     }
 
     /// Trailer for the peers of one failure domain.
-    fn tail(&self, domain: Option<u32>) -> Tail {
+    fn trailer(&self, domain: Option<u32>) -> Trailer {
         let rng = &mut self.node.state.borrow_mut().rng;
         let named = self.peers.sample_for(self.node.now(), domain, rng);
         let next = u32::try_from(self.peers.gossip_interval(domain).as_millis()).unwrap_or(u32::MAX);
-        Tail { named, next }
+        Trailer { named, next }
     }
 }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,7 +1,7 @@
 //! Forwards callers' requests to plain services and to prefill and decode engines. A [`Protocol`] connects
 //! this crate to a platform.
 //!
-//! Modules depend only on modules below them. `supervisor` starts `listeners`, `catalog` (the contents of the
+//! The modules form layers, from the top: `supervisor` starts `listeners`, `catalog` (the contents of the
 //! platform's store) and `orders`; the first two accept connections through `accept`. `listeners` hands
 //! requests to `requests`, which calls `plain` or `generate` (with `reservations`). Both use `rates` (rate
 //! limits that endpoints advertise), `stream`, `body` with `buffering` (bytes that slow callers have not
--- a/crates/forward/src/node.rs
+++ b/crates/forward/src/node.rs
@@ -89,7 +89,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) log: Logger,
     pub(crate) phase: watch::Sender<Phase>,
-    /// Wakes the gossip task after a change of the state that peers are sent.
+    /// Wakes the gossip task after a change of the state that it sends to peers.
     pub(crate) gossip_wakeup: Notify,
     /// Number of known other instances.
     pub(crate) peer_count: Cell<usize>,
@@ -313,7 +313,8 @@
         InFlightWork { node: Rc::clone(self), endpoint, tokens, sent: Cell::new(false) }
     }
 
-    /// Records that a decode engine begins a local prefill. Peers are sent this until the guard is dropped.
+    /// Records that a decode engine begins a local prefill. Reports to peers include it until the guard is
+    /// dropped.
     pub(crate) fn begin_local_prefill(self: &Rc<Self>, endpoint: EndpointKey) -> LocalPrefill {
         self.state.borrow_mut().endpoints.begin_local_prefill(endpoint);
         self.gossip_wakeup.notify_one();
@@ -535,9 +536,9 @@
     ) -> Result<(Bytes, BufferedBytes), ExchangeFailure> {
         let mut buffered = BufferedBytes::new(self, BodyKind::Response);
         match tokio::time::timeout_at(until.into(), buffered.collect(body)).await {
-            Ok(Ok(whole)) => {
+            Ok(Ok(body)) => {
                 self.pool.put(connection);
-                Ok((whole, buffered))
+                Ok((body, buffered))
             }
             Ok(Err(CollectError::Body(_))) => Err(ExchangeFailure::Broken),
             Ok(Err(CollectError::Full(error, bytes))) => {
@@ -556,9 +557,9 @@
         until: Instant,
     ) -> Result<Bytes, ExchangeFailure> {
         match tokio::time::timeout_at(until.into(), body.collect()).await {
-            Ok(Ok(whole)) => {
+            Ok(Ok(body)) => {
                 self.pool.put(connection);
-                Ok(whole.to_bytes())
+                Ok(body.to_bytes())
             }
             Ok(Err(_)) => Err(ExchangeFailure::Broken),
             Err(_) => Err(ExchangeFailure::TimedOut),
