--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepting callers' connections up to a limit.
+//! Accepts callers' connections up to a limit.
 
 use std::io;
 use std::pin::Pin;
@@ -13,27 +13,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Pause after a failed accept. The usual cause is that the process is out of file descriptors; without the
-/// pause the listener would spin at full speed until one is closed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. The usual cause is that the process has no free file descriptor; without the
+/// delay the accept loop would spin at full speed until a descriptor is closed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections, and closes those over the limit at once.
+/// Accepts connections, and closes connections over the limit immediately.
 ///
-/// Without a limit ten thousand idle connections would use up the file descriptors that requests need to
-/// reach endpoints, and callers would see refusals that have nothing to do with load.
+/// Without a limit, ten thousand idle connections would use up the file descriptors that requests need for
+/// their connections to endpoints, and callers would get refusals that have nothing to do with load.
 #[derive(Debug)]
-pub(crate) struct Bounded {
+pub(crate) struct BoundedAcceptor {
     listener: TcpListener,
-    places: Arc<Semaphore>,
+    /// One permit for each connection that may be open.
+    permits: Arc<Semaphore>,
 }
 
-impl Bounded {
+impl BoundedAcceptor {
     pub(crate) fn new(listener: TcpListener, connections: usize) -> Self {
-        Self { listener, places: Arc::new(Semaphore::new(connections)) }
+        Self { listener, permits: Arc::new(Semaphore::new(connections)) }
     }
 }
 
-impl Acceptor for Bounded {
+impl Acceptor for BoundedAcceptor {
     type Io = Connection;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
@@ -43,27 +44,27 @@
     async fn accept(&mut self) -> io::Result<(Connection, LocalAddr, RemoteAddr, Scheme)> {
         loop {
             let Ok((stream, remote)) = self.listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let Ok(place) = Arc::clone(&self.places).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
                 continue;
             };
-            // A caller that is gone already has nothing to lose by a failure here.
+            // These calls fail if the caller has disconnected already; the connection is then dropped.
             let (Ok(local), Ok(())) = (stream.local_addr(), stream.set_nodelay(true)) else {
                 continue;
             };
-            let connection = Connection { stream, _place: place };
+            let connection = Connection { stream, _permit: permit };
             return Ok((connection, LocalAddr(local.into()), RemoteAddr(remote.into()), Scheme::HTTP));
         }
     }
 }
 
-/// A caller's connection; gives its place back when it is closed.
+/// A caller's connection. Dropping the connection releases its permit.
 #[derive(Debug)]
 pub(crate) struct Connection {
     stream: TcpStream,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl AsyncRead for Connection {
--- a/crates/daemon/src/audit.rs
+++ b/crates/daemon/src/audit.rs
@@ -1,9 +1,9 @@
-//! The audit trail: one JSON line for each change, on standard output and in memory for operators.
+//! The audit trail: one JSON line per change, on standard output and in memory for operators.
 //!
-//! Instances have no disks. The platform collects standard output; whatever it has not read when a process is
-//! killed is lost, and so is the memory, which keeps the last [`KEPT`] lines. Lines are written on the thread
-//! that the change happened on, before its other effects leave, so no line of an effect that others saw can
-//! be lost for want of a flush.
+//! Instances have no disks. The platform collects standard output. If a process is killed, the output that
+//! the platform has not read is lost, and so are the last [`RETAINED_LINES`] lines in memory. A line is
+//! written synchronously on the thread of the change, before the effects that follow the line are performed.
+//! A line is therefore never lost in a buffer after others have seen such an effect.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -14,14 +14,14 @@
 use teaselshunt_core::{Audit, InstanceId, Source};
 
 /// Lines kept in memory.
-const KEPT: usize = 10_000;
+const RETAINED_LINES: usize = 10_000;
 
-/// One line.
+/// A line of the audit trail.
 #[derive(Debug, Serialize)]
-struct Line<'a> {
+struct AuditLine<'a> {
     /// Milliseconds since the Unix epoch.
     at: u64,
-    /// Grows by one with each line of this process.
+    /// Number of the line, rising by one with each line of this process.
     sequence: u64,
     instance: &'a str,
     change: &'static str,
@@ -38,32 +38,32 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    next: u64,
+struct RetainedLines {
+    next_sequence: u64,
     lines: VecDeque<(u64, String)>,
 }
 
 /// Writes and keeps the audit trail.
 #[derive(Debug)]
-pub(crate) struct Trail {
+pub(crate) struct AuditTrail {
     instance: String,
-    kept: Mutex<Kept>,
+    retained: Mutex<RetainedLines>,
 }
 
-impl Trail {
+impl AuditTrail {
     pub(crate) fn new(instance: &str) -> Self {
-        Self { instance: instance.to_owned(), kept: Mutex::default() }
+        Self { instance: instance.to_owned(), retained: Mutex::default() }
     }
 
-    /// Writes a change; `name` resolves instances to names.
+    /// Writes the line of a change; `name` returns the name of an instance.
     pub(crate) fn write(&self, audit: &Audit, name: impl Fn(InstanceId) -> String) {
         let source = |source: &Source| match source {
             Source::Platform => "platform".to_owned(),
             Source::Peer(peer) => format!("peer {}", name(*peer)),
         };
-        let mut kept = self.lock();
-        let sequence = kept.next;
-        let mut line = Line {
+        let mut retained = self.lock();
+        let sequence = retained.next_sequence;
+        let mut line = AuditLine {
             at: now_ms(),
             sequence,
             instance: &self.instance,
@@ -116,28 +116,28 @@
             Audit::Stopping => line.change = "stopping",
         }
         let text = serde_json::to_string(&line).expect("an audit line is JSON");
-        // Standard output may be closed; the line is still kept in memory.
+        // An error is ignored: standard output may be closed, and the line is kept in memory as well.
         let _ = writeln!(std::io::stdout().lock(), "{text}");
-        kept.next += 1;
-        kept.lines.push_back((sequence, text));
-        if kept.lines.len() > KEPT {
-            kept.lines.pop_front();
+        retained.next_sequence += 1;
+        retained.lines.push_back((sequence, text));
+        if retained.lines.len() > RETAINED_LINES {
+            retained.lines.pop_front();
         }
     }
 
-    /// Kept lines from number `from` on.
+    /// Lines in memory from the sequence number `from` on.
     pub(crate) fn lines(&self, from: u64) -> String {
-        let kept = self.lock();
+        let retained = self.lock();
         let mut text = String::new();
-        for (_, line) in kept.lines.iter().filter(|(sequence, _)| *sequence >= from) {
+        for (_, line) in retained.lines.iter().filter(|(sequence, _)| *sequence >= from) {
             text.push_str(line);
             text.push('\n');
         }
         text
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, RetainedLines> {
+        self.retained.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/daemon/src/bootstrap.rs
+++ b/crates/daemon/src/bootstrap.rs
@@ -1,7 +1,8 @@
-//! The start of an instance that cannot read the platform: it asks the peers that its settings name.
+//! Start of an instance that cannot reach the platform: the instance queries the peers named in its settings.
 //!
-//! A domain that is cut off from the platform still has instances replaced. A new one knows no list, so it
-//! could neither be told of the fleet nor find it; it would refuse every caller until the platform is back.
+//! Instances are also replaced in a failure domain that a network partition separates from the platform. A
+//! new instance has no list of instances, so that it can neither find its peers nor be found by them. Without
+//! this query it would refuse every caller until the platform is reachable again.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,10 +14,10 @@
 use crate::control::Control;
 use crate::peers::Peers;
 
-/// Time between two rounds of questions.
-const EVERY: Duration = Duration::from_secs(1);
+/// Time between two rounds of queries.
+const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks until a configuration and a list are known.
+/// Queries the seed peers until a configuration and a list of instances are known.
 pub(crate) async fn run(settings: Settings, peers: Peers, control: Control) {
     loop {
         let version = control.published.version.load(Ordering::Acquire);
@@ -29,6 +30,6 @@
             let message = Message::Fetch { version, revision, name, address };
             peers.send(InstanceId::of(&seed.name), Arc::from(seed.name.as_str()), seed.address, message);
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(QUERY_INTERVAL).await;
     }
 }
--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -1,4 +1,4 @@
-//! Refusals and kept answers as HTTP responses.
+//! HTTP responses for refusals and for stored responses.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use serde::Serialize;
 use teaselshunt_core::{ErrorKind, Outcome, Refusal, RequestId, StoredResponse};
 
-/// Id of the request, on every answer to a request that was taken.
+/// Id of the request, in every response to a request that was accepted.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// What a refused caller may conclude.
+/// What a refused caller may conclude about its request.
 const OUTCOME: HeaderName = HeaderName::from_static("x-teaselshunt-outcome");
-/// Read by `OpenAI` clients before their own rules for retries.
+/// `OpenAI` clients follow this header in preference to their own retry rules.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
-/// Read by `OpenAI` clients in place of `Retry-After`, for times under a second.
+/// `OpenAI` clients read this header in place of `Retry-After`; it allows delays below one second.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
-/// Marks an answer that was kept for an idempotency key.
+/// Marks a response that was stored for an idempotency key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
 
 /// The `OpenAI` error body.
@@ -33,16 +33,16 @@
     outcome: &'static str,
 }
 
-/// A refusal with more to say than its kind.
+/// A refusal with what its HTTP response needs in addition.
 #[derive(Debug)]
-pub(crate) struct Rejection {
+pub(crate) struct RefusalResponse {
     pub(crate) refusal: Refusal,
-    /// What exactly is wrong, for the caller.
+    /// Details of the error, appended to the message for the caller.
     pub(crate) detail: Option<String>,
     pub(crate) request: Option<RequestId>,
 }
 
-impl Rejection {
+impl RefusalResponse {
     pub(crate) fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self { refusal: Refusal::new(kind), detail: Some(detail.into()), request: None }
     }
@@ -69,18 +69,18 @@
 
     pub(crate) fn into_response(self) -> Response {
         let answer = self.refusal.kind.answer();
-        // Sending again is only right where nothing ran and coming back can help.
-        let again = answer.outcome == Outcome::NotRun && self.refusal.retry_after.is_some();
+        // The caller should retry only if nothing has run and a later attempt may succeed.
+        let should_retry = answer.outcome == Outcome::NotRun && self.refusal.retry_after.is_some();
         let status = StatusCode::from_u16(answer.status).expect("the table holds valid statuses");
         let mut response = Response::builder()
             .status(status)
             .content_type("application/json")
             .header(OUTCOME, answer.outcome.text())
-            .header(SHOULD_RETRY, if again { "true" } else { "false" });
-        if let Some(retry) = self.refusal.retry_after {
+            .header(SHOULD_RETRY, if should_retry { "true" } else { "false" });
+        if let Some(delay) = self.refusal.retry_after {
             response = response
-                .header(header::RETRY_AFTER, whole_seconds(retry).to_string())
-                .header(RETRY_AFTER_MS, retry.as_millis().to_string());
+                .header(header::RETRY_AFTER, retry_after_seconds(delay).to_string())
+                .header(RETRY_AFTER_MS, delay.as_millis().to_string());
         }
         if let Some(request) = self.request {
             response = response.header(REQUEST_ID, request.to_string());
@@ -93,13 +93,14 @@
     }
 }
 
-/// `Retry-After` knows whole seconds only; rounding down would call callers back too early.
-fn whole_seconds(time: Duration) -> u64 {
-    time.as_millis().div_ceil(1000).max(1) as u64
+/// Value of `Retry-After`, which has a resolution of one second. Rounded up, because callers would otherwise
+/// retry too early.
+fn retry_after_seconds(delay: Duration) -> u64 {
+    delay.as_millis().div_ceil(1000).max(1) as u64
 }
 
-/// A kept answer.
-pub(crate) fn replayed(stored: StoredResponse, request: Option<RequestId>) -> Response {
+/// Response that repeats the stored response of an idempotency key.
+pub(crate) fn replay_response(stored: StoredResponse, request: Option<RequestId>) -> Response {
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let mut response =
         Response::builder().status(status).content_type(&stored.content_type).header(REPLAYED, "true");
--- a/crates/daemon/src/callers/headers.rs
+++ b/crates/daemon/src/callers/headers.rs
@@ -1,4 +1,4 @@
-//! What callers say in headers.
+//! Request headers of callers.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use teaselshunt_teams::{ApiKey, Teams};
 use uuid::Uuid;
 
-use super::answer::Rejection;
+use super::answer::RefusalResponse;
 
-/// Time in milliseconds after which the caller has no use for the answer.
-const DEADLINE: &str = "x-teaselshunt-deadline-ms";
+/// Time in milliseconds after which the caller does not need the response any more.
+const DEADLINE_HEADER: &str = "x-teaselshunt-deadline-ms";
 /// The caller's team.
-const TEAM: &str = "openai-organization";
-/// Number of the try, which `OpenAI` clients send by themselves.
-const RETRY_COUNT: &str = "x-stainless-retry-count";
-const IDEMPOTENCY: &str = "idempotency-key";
+const TEAM_HEADER: &str = "openai-organization";
+/// Number of the retry, which `OpenAI` clients send automatically; 0 in the first request.
+const RETRY_COUNT_HEADER: &str = "x-stainless-retry-count";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Longest idempotency key.
-const KEY_MAX: usize = 255;
-/// Longest deadline.
-const DEADLINE_MAX: u64 = 86_400_000;
-/// Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1), and those that the
-/// HTTP client sets itself.
+const MAX_KEY_BYTES: usize = 255;
+/// Longest deadline: one day.
+const MAX_DEADLINE_MS: u64 = 86_400_000;
+/// Headers that apply to a single connection and are not passed on (RFC 9110, section 7.6.1), and headers
+/// that the HTTP client sets itself.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -37,61 +37,64 @@
     "content-length",
 ];
 
-/// What the headers of a request say.
+/// Parsed headers of a request.
 #[derive(Debug)]
-pub(crate) struct Terms {
+pub(crate) struct RequestHeaders {
     pub(crate) team: String,
     pub(crate) key: Option<CallerKey>,
     pub(crate) deadline: Duration,
-    /// Whether the caller was refused before and comes back.
-    pub(crate) again: bool,
+    /// Whether the caller marks the request as a retry after a refusal.
+    pub(crate) is_retry: bool,
 }
 
-impl Terms {
-    /// Reads the head of a request. `directory` says who holds which key, where callers have keys; callers of a public
-    /// `service` need none.
+impl RequestHeaders {
+    /// Parses the headers of a request. `directory` holds the teams by API key, if any team has a key; every
+    /// caller must then present a key, except callers of a public `service`.
     pub(crate) fn read(
         request: &Request,
         default: Duration,
         directory: Option<&TeamDirectory>,
         service: Option<&str>,
-    ) -> Result<Self, Rejection> {
+    ) -> Result<Self, RefusalResponse> {
         let headers = request.headers();
         let is_public = |d: &TeamDirectory| service.is_some_and(|name| d.public.contains(name));
         let team = match directory {
-            None => text(headers, TEAM)?.unwrap_or_default().to_owned(),
-            Some(directory) => match holder(headers, &directory.teams) {
+            None => header_text(headers, TEAM_HEADER)?.unwrap_or_default().to_owned(),
+            Some(directory) => match team_of_key(headers, &directory.teams) {
                 Some(team) => team,
                 None if is_public(directory) => String::new(),
-                None => return Err(Rejection::of(Refusal::new(ErrorKind::Unauthorized), None)),
+                None => return Err(RefusalResponse::of(Refusal::new(ErrorKind::Unauthorized), None)),
             },
         };
-        let key = match text(headers, IDEMPOTENCY)? {
-            Some(key) if key.is_empty() || key.len() > KEY_MAX => {
-                return Err(invalid(IDEMPOTENCY, &format!("1 to {KEY_MAX} characters are allowed")));
+        let key = match header_text(headers, IDEMPOTENCY_KEY_HEADER)? {
+            Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
+                return Err(invalid_header(
+                    IDEMPOTENCY_KEY_HEADER,
+                    &format!("1 to {MAX_KEY_BYTES} characters are allowed"),
+                ));
             }
-            Some(key) => Some(CallerKey { key: IdempotencyKey::of(&team, key), born: born(key) }),
+            Some(key) => Some(CallerKey { key: IdempotencyKey::of(&team, key), born: creation_time_ms(key) }),
             None => None,
         };
-        let deadline = match text(headers, DEADLINE)? {
+        let deadline = match header_text(headers, DEADLINE_HEADER)? {
             Some(ms) => match ms.parse() {
-                Ok(ms @ 1..=DEADLINE_MAX) => Duration::from_millis(ms),
+                Ok(ms @ 1..=MAX_DEADLINE_MS) => Duration::from_millis(ms),
                 _ => {
-                    return Err(invalid(
-                        DEADLINE,
-                        &format!("{ms:?} is not a number from 1 to {DEADLINE_MAX}"),
+                    return Err(invalid_header(
+                        DEADLINE_HEADER,
+                        &format!("{ms:?} is not a number from 1 to {MAX_DEADLINE_MS}"),
                     ));
                 }
             },
             None => default,
         };
-        let again = text(headers, RETRY_COUNT)?.is_some_and(|count| count != "0");
-        Ok(Self { team, key, deadline, again })
+        let is_retry = header_text(headers, RETRY_COUNT_HEADER)?.is_some_and(|count| count != "0");
+        Ok(Self { team, key, deadline, is_retry })
     }
 }
 
-/// The team that holds the key which a caller shows. A request with several keys has none.
-fn holder(headers: &HeaderMap, teams: &Teams) -> Option<String> {
+/// Team of the API key that a caller presents. `None` for an unknown key and for a request with several keys.
+fn team_of_key(headers: &HeaderMap, teams: &Teams) -> Option<String> {
     const SCHEME: &str = "bearer";
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let (value, another) = (values.next()?, values.next());
@@ -103,37 +106,38 @@
     teams.find(key.digest()).map(|team| team.name.to_string())
 }
 
-/// Headers of a service call to pass on, where callers have keys: the endpoint sees the team that holds the key, whatever the
-/// caller wrote, and never the key.
-pub(crate) fn with_team(mut headers: HeaderMap, team: &str) -> HeaderMap {
+/// Headers of a service call to pass on if teams have API keys. The endpoint receives the team of the key,
+/// regardless of the team that the caller states, and never the key.
+pub(crate) fn with_verified_team(mut headers: HeaderMap, team: &str) -> HeaderMap {
     headers.remove(AUTHORIZATION);
-    headers.remove(TEAM);
-    // A name that no header can hold cannot be told; the endpoint then sees none.
+    headers.remove(TEAM_HEADER);
+    // A team name that is no valid header value cannot be passed on; the endpoint then receives no team.
     if let Some(name) = HeaderValue::from_str(team).ok().filter(|_| !team.is_empty()) {
-        headers.insert(TEAM, name);
+        headers.insert(TEAM_HEADER, name);
     }
     headers
 }
 
-/// When a key was made, if it is a UUID that tells (RFC 9562, version 7).
-fn born(key: &str) -> Option<u64> {
+/// Creation time of an idempotency key in milliseconds since the Unix epoch, if the key is a UUID that
+/// contains one (RFC 9562, version 7).
+fn creation_time_ms(key: &str) -> Option<u64> {
     let id = Uuid::parse_str(key).ok().filter(|id| id.get_version_num() == 7)?;
     let (seconds, nanos) = id.get_timestamp()?.to_unix();
     Some(seconds * 1000 + u64::from(nanos) / 1_000_000)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Rejection> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RefusalResponse> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    value.to_str().map(Some).map_err(|_| invalid(name, "only visible ASCII is allowed"))
+    value.to_str().map(Some).map_err(|_| invalid_header(name, "only visible ASCII is allowed"))
 }
 
-fn invalid(name: &str, detail: &str) -> Rejection {
-    Rejection::new(ErrorKind::Invalid, format!("header {name}: {detail}"))
+fn invalid_header(name: &str, detail: &str) -> RefusalResponse {
+    RefusalResponse::new(ErrorKind::Invalid, format!("header {name}: {detail}"))
 }
 
-/// Headers to pass on.
+/// Headers to pass on: all except [`HOP_BY_HOP`].
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,7 +1,7 @@
-//! The callers' listener: an OpenAI-compatible front, and plain services under `/services/`.
+//! The callers' listener: an OpenAI-compatible API, and plain services under `/services/`.
 //!
-//! Everything a caller can send is bounded here, before the core hears of it: connections, the size of a
-//! body, the time to send it, and the requests in progress. See docs/API.md.
+//! All resources that callers can use are bounded here, before the core receives a request: connections, the
+//! size of a body, the time to send it, and the requests in progress. See docs/API.md.
 
 mod answer;
 mod front;
@@ -9,4 +9,4 @@
 mod openai;
 mod services;
 
-pub(crate) use front::{Front, serve};
+pub(crate) use front::{CallerApi, serve};
--- a/crates/daemon/src/callers/openai.rs
+++ b/crates/daemon/src/callers/openai.rs
@@ -1,4 +1,4 @@
-//! Completions, chat completions and models, as `OpenAI` clients expect them.
+//! The OpenAI-compatible API: completions, chat completions and models.
 
 use std::time::Instant;
 
@@ -10,18 +10,18 @@
 use teaselshunt_core::{ErrorKind, Fingerprint, Generate, RequestId, StoredResponse, Work};
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
 
-use super::answer::{REQUEST_ID, Rejection, replayed};
-use super::front::{Front, answered};
-use super::headers::Terms;
+use super::answer::{REQUEST_ID, RefusalResponse, replay_response};
+use super::front::{CallerApi, respond};
+use super::headers::RequestHeaders;
 use crate::audit::now_ms;
 use crate::driver::{Generation, Output, Render, Token, start_generation};
-use crate::metrics::Watch;
+use crate::metrics::LatencyRecorder;
 
-/// Tokens generated at most where the caller sets no limit.
-const LIMIT: u32 = 512;
-/// Highest limit that a caller may set.
-const LIMIT_MAX: u32 = 65_536;
-/// Bytes of prompt that count as one token; engines alone know the exact number.
+/// Maximum number of generated tokens if the caller sets no limit.
+const DEFAULT_MAX_TOKENS: u32 = 512;
+/// Highest limit of generated tokens that a caller may set.
+const MAX_TOKENS_LIMIT: u32 = 65_536;
+/// Estimated bytes of prompt per token; only engines have the exact number of tokens.
 const BYTES_PER_TOKEN: usize = 4;
 
 #[derive(Debug, Deserialize)]
@@ -77,31 +77,31 @@
     text: String,
 }
 
-/// Which of the two endpoints an answer is for; they differ in shape only.
+/// Format of a response. The two generation APIs differ in the format of their requests and responses only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Style {
+enum Format {
     Completion,
     Chat,
 }
 
-/// A request of either endpoint, checked.
+/// A validated request of either generation API.
 #[derive(Debug)]
-struct Asked {
-    style: Style,
+struct ParsedRequest {
+    format: Format,
     model: String,
     prompt: String,
-    limit: u32,
+    max_tokens: u32,
     stream: bool,
 }
 
 #[handler]
-pub(crate) async fn complete(request: &Request, Data(front): Data<&Front>, body: Body) -> Response {
-    answered(run(request, front, body, read_completion)).await
+pub(crate) async fn complete(request: &Request, Data(api): Data<&CallerApi>, body: Body) -> Response {
+    respond(run_generation(request, api, body, parse_completion)).await
 }
 
 #[handler]
-pub(crate) async fn chat(request: &Request, Data(front): Data<&Front>, body: Body) -> Response {
-    answered(run(request, front, body, read_chat)).await
+pub(crate) async fn chat(request: &Request, Data(api): Data<&CallerApi>, body: Body) -> Response {
+    respond(run_generation(request, api, body, parse_chat)).await
 }
 
 #[derive(Debug, Serialize)]
@@ -119,29 +119,29 @@
 }
 
 #[handler]
-pub(crate) async fn models(request: &Request, Data(front): Data<&Front>) -> Response {
-    let directory = front.control.published.directory();
-    if let Err(rejection) = Terms::read(request, front.deadline(), directory.as_deref(), None) {
-        return rejection.into_response();
+pub(crate) async fn models(request: &Request, Data(api): Data<&CallerApi>) -> Response {
+    let directory = api.control.published.team_directory();
+    if let Err(refusal) = RequestHeaders::read(request, api.default_deadline(), directory.as_deref(), None) {
+        return refusal.into_response();
     }
-    let names = front.control.models().await;
+    let names = api.control.models().await;
     let entry = |id| ModelEntry { id, object: "model", created: 0, owned_by: "teaselshunt" };
     let list = ModelList { object: "list", data: names.into_iter().map(entry).collect() };
-    json(&list)
+    json_response(&list)
 }
 
-fn json(value: &impl Serialize) -> Response {
-    let body = serde_json::to_vec(value).expect("answers are JSON");
+fn json_response(value: &impl Serialize) -> Response {
+    let body = serde_json::to_vec(value).expect("responses are JSON");
     Response::builder().content_type("application/json").body(body)
 }
 
-fn invalid(detail: impl Into<String>) -> Rejection {
-    Rejection::new(ErrorKind::Invalid, detail)
+fn invalid(detail: impl Into<String>) -> RefusalResponse {
+    RefusalResponse::new(ErrorKind::Invalid, detail)
 }
 
-fn read_completion(body: &[u8]) -> Result<Asked, Rejection> {
+fn parse_completion(body: &[u8]) -> Result<ParsedRequest, RefusalResponse> {
     let request: CompletionRequest = serde_json::from_slice(body).map_err(|e| invalid(e.to_string()))?;
-    one_answer(request.n)?;
+    require_one_choice(request.n)?;
     let prompt = match request.prompt {
         Prompt::One(text) => text,
         Prompt::Many(mut texts) if texts.len() == 1 => texts.remove(0),
@@ -149,12 +149,12 @@
             return Err(invalid(format!("prompt: {} prompts were given, one is allowed", texts.len())));
         }
     };
-    asked(Style::Completion, request.model, prompt, request.max_tokens, request.stream)
+    validate(Format::Completion, request.model, prompt, request.max_tokens, request.stream)
 }
 
-fn read_chat(body: &[u8]) -> Result<Asked, Rejection> {
+fn parse_chat(body: &[u8]) -> Result<ParsedRequest, RefusalResponse> {
     let request: ChatRequest = serde_json::from_slice(body).map_err(|e| invalid(e.to_string()))?;
-    one_answer(request.n)?;
+    require_one_choice(request.n)?;
     let mut prompt = String::new();
     for message in request.messages {
         prompt.push_str(&message.role);
@@ -162,11 +162,11 @@
         push_content(&mut prompt, message.content)?;
         prompt.push('\n');
     }
-    let limit = request.max_completion_tokens.or(request.max_tokens);
-    asked(Style::Chat, request.model, prompt, limit, request.stream)
+    let max_tokens = request.max_completion_tokens.or(request.max_tokens);
+    validate(Format::Chat, request.model, prompt, max_tokens, request.stream)
 }
 
-fn push_content(prompt: &mut String, content: Content) -> Result<(), Rejection> {
+fn push_content(prompt: &mut String, content: Content) -> Result<(), RefusalResponse> {
     match content {
         Content::Text(text) => prompt.push_str(&text),
         Content::Parts(parts) => {
@@ -184,139 +184,144 @@
     Ok(())
 }
 
-fn one_answer(n: Option<u32>) -> Result<(), Rejection> {
+fn require_one_choice(n: Option<u32>) -> Result<(), RefusalResponse> {
     match n {
         None | Some(1) => Ok(()),
         Some(n) => Err(invalid(format!("n: {n} was given, 1 is allowed"))),
     }
 }
 
-fn asked(
-    style: Style,
+fn validate(
+    format: Format,
     model: String,
     prompt: String,
-    limit: Option<u32>,
+    max_tokens: Option<u32>,
     stream: bool,
-) -> Result<Asked, Rejection> {
+) -> Result<ParsedRequest, RefusalResponse> {
     if prompt.is_empty() {
         return Err(invalid("the prompt is empty"));
     }
-    let limit = limit.unwrap_or(LIMIT);
-    if !(1..=LIMIT_MAX).contains(&limit) {
-        return Err(invalid(format!("max_tokens: {limit} was given, 1 to {LIMIT_MAX} are allowed")));
+    let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    if !(1..=MAX_TOKENS_LIMIT).contains(&max_tokens) {
+        return Err(invalid(format!(
+            "max_tokens: {max_tokens} was given, 1 to {MAX_TOKENS_LIMIT} are allowed"
+        )));
     }
-    Ok(Asked { style, model, prompt, limit, stream })
+    Ok(ParsedRequest { format, model, prompt, max_tokens, stream })
 }
 
-async fn run(
+async fn run_generation(
     request: &Request,
-    front: &Front,
+    api: &CallerApi,
     body: Body,
-    read: fn(&[u8]) -> Result<Asked, Rejection>,
-) -> Result<Response, Rejection> {
+    parse: fn(&[u8]) -> Result<ParsedRequest, RefusalResponse>,
+) -> Result<Response, RefusalResponse> {
     let arrived = Instant::now();
-    let place = front.place()?;
-    let directory = front.control.published.directory();
-    let terms = Terms::read(request, front.deadline(), directory.as_deref(), None)?;
-    let body = front.body(body).await?;
-    let asked = read(&body)?;
-    let fingerprint = Fingerprint::of(&terms.team, "POST", "", request.uri().path(), &body);
+    let permit = api.acquire_permit()?;
+    let directory = api.control.published.team_directory();
+    let request_headers = RequestHeaders::read(request, api.default_deadline(), directory.as_deref(), None)?;
+    let body = api.read_body(body).await?;
+    let parsed = parse(&body)?;
+    let fingerprint = Fingerprint::of(&request_headers.team, "POST", "", request.uri().path(), &body);
     let work = Generate {
-        model: asked.model.clone(),
-        team: terms.team,
-        prompt_tokens: asked.prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
-        max_tokens: asked.limit,
-        retry: terms.again,
-        key: terms.key,
+        model: parsed.model.clone(),
+        team: request_headers.team,
+        prompt_tokens: parsed.prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
+        max_tokens: parsed.max_tokens,
+        retry: request_headers.is_retry,
+        key: request_headers.key,
         fingerprint,
-        deadline: terms.deadline,
+        deadline: request_headers.deadline,
     };
-    let session = front.control.open(Work::Generate(work));
-    let shape = Shape { style: asked.style, model: asked.model.clone(), created: now_ms() / 1000 };
-    let render = terms.key.is_some().then(|| shape.clone().keeper(asked.stream));
-    let generation = Generation { model: asked.model, prompt: asked.prompt, limit: asked.limit, render };
-    let mut output = start_generation(session, front.engines.clone(), generation);
+    let session = api.control.open_session(Work::Generate(work));
+    let template =
+        ResponseTemplate { format: parsed.format, model: parsed.model.clone(), created: now_ms() / 1000 };
+    let render = request_headers.key.is_some().then(|| template.clone().into_renderer(parsed.stream));
+    let generation =
+        Generation { model: parsed.model, prompt: parsed.prompt, max_tokens: parsed.max_tokens, render };
+    let mut output = start_generation(session, api.engines.clone(), generation);
     let first = first_output(&mut output).await?;
-    let watch = front.metrics.watch(&shape.model, arrived);
-    let answer = Answer { shape, request: first.request, output, _place: place, watch };
+    let latency = api.metrics.latency_recorder(&template.model, arrived);
+    let response = PendingResponse { template, request: first.request, output, _permit: permit, latency };
     match first.output {
-        Output::Refused(refusal) => Err(Rejection::of(refusal, first.request)),
-        Output::Replayed(stored) => Ok(replayed(stored, first.request)),
-        Output::Tokens(tokens) if asked.stream => Ok(answer.stream(tokens)),
-        Output::Tokens(tokens) => answer.whole(tokens).await,
+        Output::Refused(refusal) => Err(RefusalResponse::of(refusal, first.request)),
+        Output::Replayed(stored) => Ok(replay_response(stored, first.request)),
+        Output::Tokens(tokens) if parsed.stream => Ok(response.stream(tokens)),
+        Output::Tokens(tokens) => response.complete(tokens).await,
         Output::Accepted(_) => unreachable!("a request is accepted once"),
     }
 }
 
-struct First {
+struct FirstOutput {
     request: Option<RequestId>,
     output: Output,
 }
 
-/// The request id, and the first output that says how the answer begins.
-async fn first_output(output: &mut mpsc::Receiver<Output>) -> Result<First, Rejection> {
+/// Waits for the request id and for the first output, which decides on the kind of response.
+async fn first_output(output: &mut mpsc::Receiver<Output>) -> Result<FirstOutput, RefusalResponse> {
     let mut request = None;
     loop {
         match output.recv().await {
             Some(Output::Accepted(id)) => request = Some(id),
-            Some(output) => return Ok(First { request, output }),
-            None => return Err(Rejection::new(ErrorKind::Internal, "the driver ended")),
+            Some(output) => return Ok(FirstOutput { request, output }),
+            None => return Err(RefusalResponse::new(ErrorKind::Internal, "the driver ended")),
         }
     }
 }
 
-/// The fixed parts of an answer's JSON.
+/// The parts of a response's JSON that are the same for all its tokens.
 #[derive(Debug, Clone)]
-struct Shape {
-    style: Style,
+struct ResponseTemplate {
+    format: Format,
     model: String,
     created: u64,
 }
 
-/// An answer on its way to the caller.
-struct Answer {
-    shape: Shape,
+/// A response that is being generated.
+struct PendingResponse {
+    template: ResponseTemplate,
     request: Option<RequestId>,
     output: mpsc::Receiver<Output>,
-    /// Held to the end of the answer, not of the handler: streams outlive their handlers.
-    _place: OwnedSemaphorePermit,
-    watch: Watch,
+    /// Held until the end of the response. A stream continues after its handler has returned.
+    _permit: OwnedSemaphorePermit,
+    latency: LatencyRecorder,
 }
 
-impl Answer {
+impl PendingResponse {
     fn id(&self) -> String {
         self.request.map_or_else(String::new, |r| r.to_string())
     }
 
-    async fn whole(mut self, first: Vec<Token>) -> Result<Response, Rejection> {
+    /// Collects all tokens, and responds with the complete text.
+    async fn complete(mut self, first: Vec<Token>) -> Result<Response, RefusalResponse> {
         let mut text = String::new();
         let mut next = first;
         loop {
-            self.watch.tokens(next.len());
+            self.latency.record_batch(next.len());
             for token in next {
                 text.push_str(&token.text);
                 if let Some(finish) = token.finish {
-                    return Ok(self.respond_whole(&text, &finish));
+                    return Ok(self.complete_response(&text, &finish));
                 }
             }
             next = match self.output.recv().await {
                 Some(Output::Tokens(tokens)) => tokens,
-                Some(Output::Refused(refusal)) => return Err(Rejection::of(refusal, self.request)),
-                _ => return Err(Rejection::new(ErrorKind::Internal, "the driver ended")),
+                Some(Output::Refused(refusal)) => return Err(RefusalResponse::of(refusal, self.request)),
+                _ => return Err(RefusalResponse::new(ErrorKind::Internal, "the driver ended")),
             };
         }
     }
 
-    fn respond_whole(&self, text: &str, finish: &str) -> Response {
-        let body = self.shape.whole(&self.id(), text, finish);
+    fn complete_response(&self, text: &str, finish: &str) -> Response {
+        let body = self.template.complete_body(&self.id(), text, finish);
         Response::builder().content_type("application/json").header(REQUEST_ID, self.id()).body(body)
     }
 
     fn stream(self, first: Vec<Token>) -> Response {
         let id = self.id();
         let events =
-            Streaming { id: id.clone(), answer: self, pending: Some(Output::Tokens(first)), done: false };
-        let body = Body::from_bytes_stream(stream::unfold(events, Streaming::next));
+            EventStream { id: id.clone(), response: self, pending: Some(Output::Tokens(first)), done: false };
+        let body = Body::from_bytes_stream(stream::unfold(events, EventStream::next));
         Response::builder()
             .content_type("text/event-stream")
             .header(header::CACHE_CONTROL, "no-cache")
@@ -325,46 +330,47 @@
     }
 }
 
-struct Streaming {
+/// The body of a streamed response.
+struct EventStream {
     id: String,
-    answer: Answer,
+    response: PendingResponse,
     pending: Option<Output>,
     done: bool,
 }
 
-impl Streaming {
+impl EventStream {
     async fn next(mut self) -> Option<(std::io::Result<Vec<u8>>, Self)> {
         if self.done {
             return None;
         }
         let output = match self.pending.take() {
             Some(output) => Some(output),
-            None => self.answer.output.recv().await,
+            None => self.response.output.recv().await,
         };
         let mut chunk = Vec::new();
         match output {
-            Some(Output::Tokens(tokens)) => self.tokens(&tokens, &mut chunk),
+            Some(Output::Tokens(tokens)) => self.push_tokens(&tokens, &mut chunk),
             Some(Output::Refused(refusal)) => {
-                // The status line is out, so the error goes the way of the tokens, without an end mark: a
-                // client that waits for `[DONE]` never takes this for a whole answer.
-                let rejection = Rejection::of(refusal, self.answer.request);
-                event(&mut chunk, &rejection.body());
+                // The status line has been sent, so the error is sent as an event of the stream, without the
+                // end mark: a client that waits for `[DONE]` never takes this for a complete response.
+                let refusal = RefusalResponse::of(refusal, self.response.request);
+                push_event(&mut chunk, &refusal.body());
                 self.done = true;
             }
-            _ => return Some((Err(std::io::Error::other("the driver ended")), self.end())),
+            _ => return Some((Err(std::io::Error::other("the driver ended")), self.ended())),
         }
         Some((Ok(chunk), self))
     }
 
-    fn end(mut self) -> Self {
+    fn ended(mut self) -> Self {
         self.done = true;
         self
     }
 
-    fn tokens(&mut self, tokens: &[Token], chunk: &mut Vec<u8>) {
-        self.answer.watch.tokens(tokens.len());
+    fn push_tokens(&mut self, tokens: &[Token], chunk: &mut Vec<u8>) {
+        self.response.latency.record_batch(tokens.len());
         for token in tokens {
-            self.answer.shape.chunk(chunk, &self.id, &token.text, token.finish.as_deref());
+            self.response.template.push_chunk(chunk, &self.id, &token.text, token.finish.as_deref());
             if token.finish.is_some() {
                 chunk.extend_from_slice(b"data: [DONE]\n\n");
                 self.done = true;
@@ -373,7 +379,7 @@
     }
 }
 
-fn event(chunk: &mut Vec<u8>, value: &impl Serialize) {
+fn push_event(chunk: &mut Vec<u8>, value: &impl Serialize) {
     chunk.extend_from_slice(b"data: ");
     serde_json::to_writer(&mut *chunk, value).expect("events are JSON");
     chunk.extend_from_slice(b"\n\n");
@@ -416,53 +422,54 @@
     content: &'a str,
 }
 
-impl Shape {
+impl ResponseTemplate {
     fn object<'a, C>(&'a self, id: &'a str, kind: &'static str, choice: C) -> Object<'a, C> {
         Object { id, kind, created: self.created, model: &self.model, choices: [choice] }
     }
 
-    fn whole(&self, id: &str, text: &str, finish: &str) -> Vec<u8> {
+    fn complete_body(&self, id: &str, text: &str, finish: &str) -> Vec<u8> {
         let finish_reason = Some(finish);
-        let body = match self.style {
-            Style::Completion => {
+        let body = match self.format {
+            Format::Completion => {
                 let choice = TextChoice { index: 0, text, finish_reason };
                 serde_json::to_vec(&self.object(id, "text_completion", choice))
             }
-            Style::Chat => {
+            Format::Chat => {
                 let message = Delta { role: "assistant", content: text };
                 let choice = MessageChoice { index: 0, message, finish_reason };
                 serde_json::to_vec(&self.object(id, "chat.completion", choice))
             }
         };
-        body.expect("answers are JSON")
+        body.expect("responses are JSON")
     }
 
-    fn chunk(&self, out: &mut Vec<u8>, id: &str, text: &str, finish_reason: Option<&str>) {
-        match self.style {
-            Style::Completion => {
+    fn push_chunk(&self, out: &mut Vec<u8>, id: &str, text: &str, finish_reason: Option<&str>) {
+        match self.format {
+            Format::Completion => {
                 let choice = TextChoice { index: 0, text, finish_reason };
-                event(out, &self.object(id, "text_completion", choice));
+                push_event(out, &self.object(id, "text_completion", choice));
             }
-            Style::Chat => {
+            Format::Chat => {
                 let delta = Delta { role: "assistant", content: text };
                 let choice = DeltaChoice { index: 0, delta, finish_reason };
-                event(out, &self.object(id, "chat.completion.chunk", choice));
+                push_event(out, &self.object(id, "chat.completion.chunk", choice));
             }
         }
     }
 
-    /// Renders the answer that a retry with the same idempotency key will get, in the shape first asked for.
-    fn keeper(self, stream: bool) -> Render {
+    /// Creates the function that renders the stored response for retries with the same idempotency key,
+    /// streamed or not as the first request asked for.
+    fn into_renderer(self, stream: bool) -> Render {
         Box::new(move |text, finish| {
-            let (content, body) = if stream {
+            let (content_type, body) = if stream {
                 let mut body = Vec::new();
-                self.chunk(&mut body, "", text, Some(finish));
+                self.push_chunk(&mut body, "", text, Some(finish));
                 body.extend_from_slice(b"data: [DONE]\n\n");
                 ("text/event-stream", body)
             } else {
-                ("application/json", self.whole("", text, finish))
+                ("application/json", self.complete_body("", text, finish))
             };
-            StoredResponse { status: 200, content_type: content.to_owned(), body }
+            StoredResponse { status: 200, content_type: content_type.to_owned(), body }
         })
     }
 }
--- a/crates/daemon/src/callers/services.rs
+++ b/crates/daemon/src/callers/services.rs
@@ -5,56 +5,58 @@
 use poem::{Body, Request, Response, handler};
 use teaselshunt_core::{Call, ErrorKind, Fingerprint, RequestId, Work};
 
-use super::answer::{REQUEST_ID, Rejection, replayed};
-use super::front::{Front, answered};
-use super::headers::{Terms, end_to_end, with_team};
-use crate::driver::{CallOutput, CallPlan, start_call};
+use super::answer::{REQUEST_ID, RefusalResponse, replay_response};
+use super::front::{CallerApi, respond};
+use super::headers::{RequestHeaders, end_to_end, with_verified_team};
+use crate::driver::{CallOutput, CallRequest, start_call};
 
 #[handler]
 pub(crate) async fn call(
     request: &Request,
     Path((service, path)): Path<(String, String)>,
-    Data(front): Data<&Front>,
+    Data(api): Data<&CallerApi>,
     body: Body,
 ) -> Response {
-    answered(run(request, service, path, front, body)).await
+    respond(run_call(request, service, path, api, body)).await
 }
 
-async fn run(
+async fn run_call(
     request: &Request,
     service: String,
     path: String,
-    front: &Front,
+    api: &CallerApi,
     body: Body,
-) -> Result<Response, Rejection> {
-    let _place = front.place()?;
-    let directory = front.control.published.directory();
-    let terms = Terms::read(request, front.deadline(), directory.as_deref(), Some(&service))?;
-    let body = front.body(body).await?;
+) -> Result<Response, RefusalResponse> {
+    let _permit = api.acquire_permit()?;
+    let directory = api.control.published.team_directory();
+    let request_headers =
+        RequestHeaders::read(request, api.default_deadline(), directory.as_deref(), Some(&service))?;
+    let body = api.read_body(body).await?;
     let method = request.method().clone();
     if method == Method::CONNECT {
-        return Err(Rejection::new(ErrorKind::Invalid, "method CONNECT is not allowed"));
+        return Err(RefusalResponse::new(ErrorKind::Invalid, "method CONNECT is not allowed"));
     }
     let path = with_query(path, request.uri().query());
-    let fingerprint = Fingerprint::of(&terms.team, method.as_str(), &service, &path, &body);
-    let (key, deadline) = (terms.key, terms.deadline);
+    let fingerprint = Fingerprint::of(&request_headers.team, method.as_str(), &service, &path, &body);
+    let (key, deadline) = (request_headers.key, request_headers.deadline);
     let mut headers = end_to_end(request.headers());
     if directory.is_some() {
-        headers = with_team(headers, &terms.team);
+        headers = with_verified_team(headers, &request_headers.team);
     }
-    let work = Call { service, method: method.to_string(), team: terms.team, key, fingerprint, deadline };
-    let session = front.control.open(Work::Call(work));
-    let plan = CallPlan { method, path, headers, body, keyed: terms.key.is_some() };
-    let output = start_call(session, front.engines.clone(), plan);
+    let work =
+        Call { service, method: method.to_string(), team: request_headers.team, key, fingerprint, deadline };
+    let session = api.control.open_session(Work::Call(work));
+    let call_request = CallRequest { method, path, headers, body, keyed: request_headers.key.is_some() };
+    let output = start_call(session, api.engines.clone(), call_request);
     match output.await {
         Ok(CallOutput::Answered { request, status, headers, body }) => {
             let mut response = Response::builder().status(status).body(body);
             *response.headers_mut() = end_to_end(&headers);
-            Ok(name(response, request))
+            Ok(with_request_id(response, request))
         }
-        Ok(CallOutput::Refused { request, refusal }) => Err(Rejection::of(refusal, request)),
-        Ok(CallOutput::Replayed { request, stored }) => Ok(replayed(stored, request)),
-        Err(_) => Err(Rejection::new(ErrorKind::Internal, "the driver ended")),
+        Ok(CallOutput::Refused { request, refusal }) => Err(RefusalResponse::of(refusal, request)),
+        Ok(CallOutput::Replayed { request, stored }) => Ok(replay_response(stored, request)),
+        Err(_) => Err(RefusalResponse::new(ErrorKind::Internal, "the driver ended")),
     }
 }
 
@@ -65,7 +67,7 @@
     }
 }
 
-fn name(mut response: Response, request: Option<RequestId>) -> Response {
+fn with_request_id(mut response: Response, request: Option<RequestId>) -> Response {
     let value = request.and_then(|r| r.to_string().parse().ok());
     if let Some(value) = value {
         response.headers_mut().insert(REQUEST_ID, value);
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: it owns the decision core and is the only one that touches it.
+//! The control thread, which owns the decision core; no other thread accesses the core.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::audit::Trail;
+use crate::audit::AuditTrail;
 
 /// Exit code after a broken invariant.
-const BROKEN: i32 = 70;
+const EXIT_INVARIANT_BROKEN: i32 = 70;
 
-/// What the core wants of a request's driver. Mirrors the effects that carry a ticket.
+/// A command of the core to the driver of a request. Mirrors the effects that carry a ticket.
 #[derive(Debug)]
 pub(crate) enum Command {
     Accepted(RequestId),
@@ -39,9 +39,9 @@
         target: Target,
         resume: Option<AttemptId>,
         priority: u8,
-        stall: Duration,
+        stall_timeout: Duration,
     },
-    /// `issued` is when the core decided on the call.
+    /// `issued` is the time at which the core decided on the call.
     Call {
         attempt: AttemptId,
         target: Target,
@@ -52,9 +52,9 @@
     Replay(StoredResponse),
 }
 
-/// What the core wants of the rest of the process.
+/// An action that the core requests from the process and that no driver performs.
 #[derive(Debug)]
-pub(crate) enum Chore {
+pub(crate) enum Action {
     Cancel { attempt: AttemptId, target: Target },
     Poll { target: Target },
     Send { to: InstanceId, name: Arc<str>, address: SocketAddr, message: Message },
@@ -64,32 +64,32 @@
 enum Input {
     Open { ticket: Ticket, work: Work, commands: mpsc::UnboundedSender<Command> },
     Event(Event),
-    Snapshot(oneshot::Sender<InstanceView>),
+    View(oneshot::Sender<InstanceView>),
     Models(oneshot::Sender<Vec<String>>),
 }
 
-/// Numbers that other threads read without asking the control thread.
+/// State of the core that other threads read without a query to the control thread.
 #[derive(Debug, Default)]
 pub(crate) struct Published {
-    /// Configuration version in force.
+    /// Active configuration version.
     pub(crate) version: AtomicU64,
     /// List revision in use.
     pub(crate) revision: AtomicU64,
-    directory: RwLock<Option<Arc<TeamDirectory>>>,
+    team_directory: RwLock<Option<Arc<TeamDirectory>>>,
 }
 
 impl Published {
-    /// Who holds which key; `None` where callers name their team themselves.
-    pub(crate) fn directory(&self) -> Option<Arc<TeamDirectory>> {
-        self.directory.read().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Teams by API key; `None` if no team has a key and callers state their team themselves.
+    pub(crate) fn team_directory(&self) -> Option<Arc<TeamDirectory>> {
+        self.team_directory.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn set_directory(&self, directory: Option<TeamDirectory>) {
-        *self.directory.write().unwrap_or_else(PoisonError::into_inner) = directory.map(Arc::new);
+    fn set_team_directory(&self, directory: Option<TeamDirectory>) {
+        *self.team_directory.write().unwrap_or_else(PoisonError::into_inner) = directory.map(Arc::new);
     }
 }
 
-/// A way to the control thread. Cheap to clone.
+/// Handle to the control thread. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(crate) struct Control {
     inputs: mpsc::UnboundedSender<Input>,
@@ -99,7 +99,8 @@
     stopped: watch::Receiver<bool>,
 }
 
-/// One request of a caller. Dropping it tells the core that the caller is gone, unless it was closed.
+/// Connection of a request's driver to the core. A session that is dropped before [`Session::close`] reports
+/// to the core that the caller has disconnected.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub(crate) ticket: Ticket,
@@ -109,21 +110,21 @@
 }
 
 impl Control {
-    /// Sends an event. The queue is only closed when the process ends.
+    /// Sends an event to the core. The queue is closed only when the process exits.
     pub(crate) fn send(&self, event: Event) {
         let _ = self.inputs.send(Input::Event(event));
     }
 
-    pub(crate) fn open(&self, work: Work) -> Session {
+    pub(crate) fn open_session(&self, work: Work) -> Session {
         let ticket = Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
         let (sender, commands) = mpsc::unbounded_channel();
         let _ = self.inputs.send(Input::Open { ticket, work, commands: sender });
         Session { ticket, commands, control: self.clone(), closed: false }
     }
 
-    pub(crate) async fn snapshot(&self) -> Option<InstanceView> {
+    pub(crate) async fn view(&self) -> Option<InstanceView> {
         let (sender, receiver) = oneshot::channel();
-        let _ = self.inputs.send(Input::Snapshot(sender));
+        let _ = self.inputs.send(Input::View(sender));
         receiver.await.ok()
     }
 
@@ -133,10 +134,10 @@
         receiver.await.unwrap_or_default()
     }
 
-    /// Waits for the end of a planned stop.
+    /// Waits until a graceful shutdown is complete.
     pub(crate) async fn stopped(&self) {
         let mut stopped = self.stopped.clone();
-        // An error means that the control thread has ended, which is a stop as well.
+        // An error means that the control thread has ended, which counts as stopped as well.
         let _ = stopped.wait_for(|s| *s).await;
     }
 }
@@ -150,7 +151,7 @@
         self.control.clock.now()
     }
 
-    /// The request has had its final answer.
+    /// Marks the request as answered, so that dropping the session reports no disconnect.
     pub(crate) fn close(&mut self) {
         self.closed = true;
     }
@@ -164,69 +165,71 @@
     }
 }
 
-/// What the control thread is made of.
+/// Dependencies of the control thread.
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Dependencies {
     pub(crate) identity: Identity,
     pub(crate) seed: u64,
     pub(crate) clock: Arc<dyn Clock>,
-    pub(crate) trail: Arc<Trail>,
-    pub(crate) chores: mpsc::UnboundedSender<Chore>,
+    pub(crate) trail: Arc<AuditTrail>,
+    pub(crate) actions: mpsc::UnboundedSender<Action>,
     pub(crate) log: Logger,
 }
 
 /// Starts the control thread.
 ///
 /// # Errors
-/// The operating system gives no thread.
-pub(crate) fn start(parts: Parts) -> std::io::Result<Control> {
+/// The operating system cannot create a thread or a timer.
+pub(crate) fn start(dependencies: Dependencies) -> std::io::Result<Control> {
     let (inputs, receiver) = mpsc::unbounded_channel();
-    let (stop, stopped) = watch::channel(false);
+    let (stopped_sender, stopped) = watch::channel(false);
     let published = Arc::new(Published::default());
     let control = Control {
         inputs,
         next_ticket: Arc::new(AtomicU64::new(1)),
         published: Arc::clone(&published),
-        clock: Arc::clone(&parts.clock),
+        clock: Arc::clone(&dependencies.clock),
         stopped,
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-    let log = parts.log.clone();
-    let thread = Thread::new(parts, published, stop);
+    let log = dependencies.log.clone();
+    let thread = ControlThread::new(dependencies, published, stopped_sender);
     std::thread::Builder::new().name("control".to_owned()).spawn(move || {
         let run = std::panic::AssertUnwindSafe(|| runtime.block_on(thread.run(receiver)));
         if std::panic::catch_unwind(run).is_err() {
             crit!(log, "an invariant is broken; the process ends");
-            // The log line is on its way through a queue.
+            // The log line passes through a queue to another thread; the delay lets that thread write it.
             std::thread::sleep(Duration::from_millis(100));
-            std::process::exit(BROKEN);
+            std::process::exit(EXIT_INVARIANT_BROKEN);
         }
     })?;
     Ok(control)
 }
 
-struct Thread {
+struct ControlThread {
     instance: Instance,
     clock: Arc<dyn Clock>,
-    trail: Arc<Trail>,
-    chores: mpsc::UnboundedSender<Chore>,
-    callers: HashMap<Ticket, mpsc::UnboundedSender<Command>>,
+    trail: Arc<AuditTrail>,
+    actions: mpsc::UnboundedSender<Action>,
+    /// Command queues of the drivers, by ticket.
+    drivers: HashMap<Ticket, mpsc::UnboundedSender<Command>>,
     published: Arc<Published>,
-    stop: watch::Sender<bool>,
+    stopped: watch::Sender<bool>,
+    /// Reused buffer for the effects of a step.
     effects: Vec<Effect>,
 }
 
-impl Thread {
-    fn new(parts: Parts, published: Arc<Published>, stop: watch::Sender<bool>) -> Self {
-        let instance = Instance::new(parts.clock.now(), parts.identity, parts.seed);
+impl ControlThread {
+    fn new(dependencies: Dependencies, published: Arc<Published>, stopped: watch::Sender<bool>) -> Self {
+        let instance = Instance::new(dependencies.clock.now(), dependencies.identity, dependencies.seed);
         Self {
             instance,
-            clock: parts.clock,
-            trail: parts.trail,
-            chores: parts.chores,
-            callers: HashMap::new(),
+            clock: dependencies.clock,
+            trail: dependencies.trail,
+            actions: dependencies.actions,
+            drivers: HashMap::new(),
             published,
-            stop,
+            stopped,
             effects: Vec::new(),
         }
     }
@@ -237,7 +240,7 @@
         loop {
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 _ = ticks.tick() => self.step(Event::Tick),
@@ -245,14 +248,14 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Open { ticket, work, commands } => {
-                self.callers.insert(ticket, commands);
+                self.drivers.insert(ticket, commands);
                 self.step(Event::Arrived { ticket, work });
             }
             Input::Event(event) => self.step(event),
-            Input::Snapshot(sender) => {
+            Input::View(sender) => {
                 let _ = sender.send(self.instance.view(self.clock.now()));
             }
             Input::Models(sender) => {
@@ -272,59 +275,60 @@
         let mut effects = std::mem::take(&mut self.effects);
         self.instance.step(self.clock.now(), event, &mut effects);
         for effect in effects.drain(..) {
-            self.perform(effect);
+            self.perform_effect(effect);
         }
         self.effects = effects;
         if let Some(ticket) = ended {
-            self.callers.remove(&ticket);
+            self.drivers.remove(&ticket);
         }
     }
 
-    fn perform(&mut self, effect: Effect) {
+    fn perform_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Accept { ticket, request } => self.command(ticket, Command::Accepted(request)),
+            Effect::Accept { ticket, request } => self.send_command(ticket, Command::Accepted(request)),
             Effect::Prefill { ticket, attempt, target, priority, timeout } => {
-                self.command(ticket, Command::Prefill { attempt, target, priority, timeout });
+                self.send_command(ticket, Command::Prefill { attempt, target, priority, timeout });
             }
             Effect::Import { ticket, attempt, origin, target, timeout } => {
-                self.command(ticket, Command::Import { attempt, origin, target, timeout });
+                self.send_command(ticket, Command::Import { attempt, origin, target, timeout });
             }
             Effect::Decode { ticket, attempt, target, resume, priority, stall_timeout } => {
-                self.command(
+                self.send_command(
                     ticket,
-                    Command::Decode { attempt, target, resume, priority, stall: stall_timeout },
+                    Command::Decode { attempt, target, resume, priority, stall_timeout },
                 );
             }
             Effect::Call { ticket, attempt, target, timeout } => {
                 let issued = self.clock.now();
-                self.command(ticket, Command::Call { attempt, target, timeout, issued });
+                self.send_command(ticket, Command::Call { attempt, target, timeout, issued });
             }
             Effect::Refuse { ticket, refusal } => {
-                self.command(ticket, Command::Refuse(refusal));
-                self.callers.remove(&ticket);
+                self.send_command(ticket, Command::Refuse(refusal));
+                self.drivers.remove(&ticket);
             }
             Effect::Replay { ticket, stored } => {
-                self.command(ticket, Command::Replay(stored));
-                self.callers.remove(&ticket);
+                self.send_command(ticket, Command::Replay(stored));
+                self.drivers.remove(&ticket);
             }
-            Effect::Cancel { attempt, target } => self.chore(Chore::Cancel { attempt, target }),
-            Effect::Poll { target } => self.chore(Chore::Poll { target }),
+            Effect::Cancel { attempt, target } => self.request_action(Action::Cancel { attempt, target }),
+            Effect::Poll { target } => self.request_action(Action::Poll { target }),
             Effect::Send { to, name, address, message } => {
-                self.chore(Chore::Send { to, name, address, message });
+                self.request_action(Action::Send { to, name, address, message });
             }
-            Effect::Audit(audit) => self.audit(&audit),
+            Effect::Audit(audit) => self.record_audit(&audit),
             Effect::Stopped => {
-                self.stop.send_replace(true);
+                self.stopped.send_replace(true);
             }
         }
     }
 
-    fn audit(&self, audit: &teaselshunt_core::Audit) {
+    fn record_audit(&self, audit: &teaselshunt_core::Audit) {
         self.trail.write(audit, |id| self.instance.name(id));
         match audit {
             teaselshunt_core::Audit::Accepted { version, .. } => {
-                // Keys first: whoever sees the version must not meet the keys of the one before.
-                self.published.set_directory(self.instance.team_directory());
+                // API keys first: a thread that reads the new version must not use the keys of the previous
+                // one.
+                self.published.set_team_directory(self.instance.team_directory());
                 self.published.version.store(*version, Ordering::Release);
             }
             teaselshunt_core::Audit::List { revision, .. } => {
@@ -334,14 +338,15 @@
         }
     }
 
-    /// A driver that has ended meanwhile has told the core so, or will.
-    fn command(&self, ticket: Ticket, command: Command) {
-        if let Some(commands) = self.callers.get(&ticket) {
+    /// Sends a command to the driver of a request. If the driver has ended, the command is dropped: the
+    /// driver's session reports its end to the core.
+    fn send_command(&self, ticket: Ticket, command: Command) {
+        if let Some(commands) = self.drivers.get(&ticket) {
             let _ = commands.send(command);
         }
     }
 
-    fn chore(&self, chore: Chore) {
-        let _ = self.chores.send(chore);
+    fn request_action(&self, action: Action) {
+        let _ = self.actions.send(action);
     }
 }
--- a/crates/daemon/src/driver/call.rs
+++ b/crates/daemon/src/driver/call.rs
@@ -11,20 +11,21 @@
 use crate::control::{Command, Session};
 use crate::engines::{Engines, dispatch};
 
-/// Largest answer of a service.
-const ANSWER_MAX: usize = 64 << 20;
-/// A command older than this is not acted on any more.
+/// Largest response of a service.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Maximum age of a command to call a service; an older command is not executed.
 ///
-/// A process that is frozen between the decision and the write and wakes much later would send a call that
-/// others have long since answered for. The check right before the write leaves the moment between the two;
-/// that moment can only be closed by the service itself, which gets the idempotency key.
-const STALE: Duration = Duration::from_secs(1);
+/// A process can be frozen between the decision and the write to the socket. When it resumes much later,
+/// other instances may have answered for the request already, so it must not send the call. The age is
+/// checked directly before the write. The short time between the check and the write remains; only the
+/// service itself can cover it, by the idempotency key that it receives.
+const COMMAND_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// A call as the caller asked for it.
+/// A service call that a caller requested.
 #[derive(Debug)]
-pub(crate) struct CallPlan {
+pub(crate) struct CallRequest {
     pub(crate) method: Method,
-    /// Path and query behind the service's name.
+    /// Path and query after the service's name.
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -32,7 +33,7 @@
     pub(crate) keyed: bool,
 }
 
-/// What the caller gets.
+/// Response to the caller.
 #[derive(Debug)]
 pub(crate) enum CallOutput {
     Answered { request: Option<RequestId>, status: StatusCode, headers: HeaderMap, body: Bytes },
@@ -44,10 +45,10 @@
 pub(crate) fn start_call(
     session: Session,
     engines: Engines,
-    plan: CallPlan,
+    call: CallRequest,
 ) -> oneshot::Receiver<CallOutput> {
     let (output, receiver) = oneshot::channel();
-    let driver = Driver { session, engines, plan, request: None };
+    let driver = Driver { session, engines, call, request: None };
     tokio::spawn(driver.run(output));
     receiver
 }
@@ -55,7 +56,7 @@
 struct Driver {
     session: Session,
     engines: Engines,
-    plan: CallPlan,
+    call: CallRequest,
     request: Option<RequestId>,
 }
 
@@ -67,7 +68,7 @@
                 () = output.closed() => None,
             };
             let request = self.request;
-            let answer = match command {
+            let result = match command {
                 None => return,
                 Some(Command::Accepted(id)) => {
                     self.request = Some(id);
@@ -76,9 +77,9 @@
                 Some(Command::Refuse(refusal)) => CallOutput::Refused { request, refusal },
                 Some(Command::Replay(stored)) => CallOutput::Replayed { request, stored },
                 Some(Command::Call { attempt, target, timeout, issued }) => {
-                    match self.call(attempt, target, (timeout, issued), &mut output).await {
-                        Some(answer) => answer,
-                        None if output.is_closed() && !self.plan.keyed => return,
+                    match self.make_call(attempt, target, (timeout, issued), &mut output).await {
+                        Some(result) => result,
+                        None if output.is_closed() && !self.call.keyed => return,
                         None => continue,
                     }
                 }
@@ -87,14 +88,15 @@
                 }
             };
             self.session.close();
-            // A caller that has gone meanwhile cannot be told; the core knows the outcome.
-            let _ = output.send(answer);
+            // Sending fails if the caller has disconnected meanwhile; the core knows the outcome.
+            let _ = output.send(result);
             return;
         }
     }
 
-    /// Makes the call. `None` if it failed, which the core has been told, or if the caller is gone.
-    async fn call(
+    /// Makes the call. `None` if the call failed, which is reported to the core, or if the caller has
+    /// disconnected.
+    async fn make_call(
         &mut self,
         attempt: AttemptId,
         target: Target,
@@ -102,8 +104,9 @@
         output: &mut oneshot::Sender<CallOutput>,
     ) -> Option<CallOutput> {
         let call = self.send(target, timeout, issued);
-        let result = if self.plan.keyed {
-            // It cannot be taken back, and the caller's retry will ask for its answer by the key.
+        let result = if self.call.keyed {
+            // The call cannot be revoked, and a retry of the caller gets the response by the key. The call
+            // therefore runs to its end even if the caller disconnects.
             call.await
         } else {
             tokio::select! {
@@ -113,47 +116,50 @@
         };
         match result {
             Ok((status, headers, body)) => {
-                let stored = keep(status, &headers, &body);
+                let stored = stored_response(status, &headers, &body);
                 self.session.send(Event::Called { attempt, stored });
                 Some(CallOutput::Answered { request: self.request, status, headers, body })
             }
-            Err(fault) => {
-                self.session.send(Event::Failed { attempt, failure: fault, offset: 0 });
+            Err(failure) => {
+                self.session.send(Event::Failed { attempt, failure, offset: 0 });
                 None
             }
         }
     }
 
-    /// The whole answer is read before any of it is passed on: a caller never takes a part for the whole.
+    /// Sends the call and reads the complete response before any of it is passed on, so that a caller never
+    /// takes a truncated response for a complete one.
     async fn send(
         &self,
         target: Target,
         timeout: Duration,
         issued: Instant,
     ) -> Result<(StatusCode, HeaderMap, Bytes), StepFailure> {
-        let url = format!("http://{}/{}", target.address, self.plan.path);
+        let url = format!("http://{}/{}", target.address, self.call.path);
         let call = self
             .engines
             .client()
-            .request(self.plan.method.clone(), url)
-            .headers(self.plan.headers.clone())
-            .body(self.plan.body.clone())
+            .request(self.call.method.clone(), url)
+            .headers(self.call.headers.clone())
+            .body(self.call.body.clone())
             .timeout(timeout);
-        if self.session.now().duration_since(issued) > STALE {
+        if self.session.now().duration_since(issued) > COMMAND_MAX_AGE {
             return Err(StepFailure::NotSent);
         }
         let response = dispatch(call).await?;
         let (status, headers) = (response.status(), response.headers().clone());
-        let body = read_whole(response).await?;
+        let body = read_body(response).await?;
         Ok((status, headers, body))
     }
 }
 
-async fn read_whole(mut response: Response) -> Result<Bytes, StepFailure> {
+async fn read_body(mut response: Response) -> Result<Bytes, StepFailure> {
     let mut body = Vec::new();
     loop {
         match response.chunk().await {
-            Ok(Some(chunk)) if body.len() + chunk.len() <= ANSWER_MAX => body.extend_from_slice(&chunk),
+            Ok(Some(chunk)) if body.len() + chunk.len() <= MAX_RESPONSE_BYTES => {
+                body.extend_from_slice(&chunk);
+            }
             Ok(None) => return Ok(Bytes::from(body)),
             Err(error) if error.is_timeout() => return Err(StepFailure::TimedOut),
             Ok(Some(_)) | Err(_) => return Err(StepFailure::Broken),
@@ -161,11 +167,11 @@
     }
 }
 
-fn keep(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Option<StoredResponse> {
+fn stored_response(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Option<StoredResponse> {
     if body.len() > StoredResponse::MAX_BODY_BYTES {
         return None;
     }
-    let content = headers.get(reqwest::header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
-    let content = content.unwrap_or("application/octet-stream").to_owned();
-    Some(StoredResponse { status: status.as_u16(), content_type: content, body: body.to_vec() })
+    let content_type = headers.get(reqwest::header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
+    let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
+    Some(StoredResponse { status: status.as_u16(), content_type, body: body.to_vec() })
 }
--- a/crates/daemon/src/driver/generate.rs
+++ b/crates/daemon/src/driver/generate.rs
@@ -1,4 +1,4 @@
-//! Driver of a generation: prefill, import, decode, and the tokens to the caller.
+//! Driver of a generation: prefill, import, decode, and the tokens that are passed to the caller.
 
 use std::time::Duration;
 
@@ -6,24 +6,26 @@
 use teaselshunt_wire::engine::{DecodeRequest, ImportRequest, PrefillRequest, TokenEvent};
 use tokio::sync::mpsc;
 
-use super::sse::Events;
+use super::sse::EventParser;
 use crate::control::{Command, Session};
 use crate::engines::Engines;
 
-/// Batches of tokens on their way to the caller; a caller that reads slowly holds its own stream up.
-const QUEUE: usize = 64;
-/// Tokens between two reports of progress to the core.
-const REPORT_EVERY: u32 = 64;
+/// Capacity of the queue to the caller, in outputs (batches of tokens). A caller that reads slowly delays
+/// only its own stream.
+const QUEUE_OUTPUTS: usize = 64;
+/// Tokens between two progress reports to the core.
+const TOKENS_PER_REPORT: u32 = 64;
 
-/// Renders a whole answer from its text and finish reason.
+/// Renders a complete response from its text and finish reason.
 pub(crate) type Render = Box<dyn Fn(&str, &str) -> StoredResponse + Send + Sync>;
 
-/// A generation as the caller asked for it.
+/// A generation that a caller requested.
 pub(crate) struct Generation {
     pub(crate) model: String,
     pub(crate) prompt: String,
-    pub(crate) limit: u32,
-    /// Renders the whole answer, text and finish reason, for a retry with the same idempotency key.
+    /// Maximum number of tokens to generate.
+    pub(crate) max_tokens: u32,
+    /// Renders the response that is stored for retries with the same idempotency key; `None` without a key.
     pub(crate) render: Option<Render>,
 }
 
@@ -34,7 +36,7 @@
     pub(crate) finish: Option<String>,
 }
 
-/// What the caller gets.
+/// Output to the caller.
 #[derive(Debug)]
 pub(crate) enum Output {
     Accepted(RequestId),
@@ -43,19 +45,19 @@
     Replayed(StoredResponse),
 }
 
-/// Why a driver stops short.
-enum Halt {
-    /// A step failed; the core decides what next.
-    Fault(StepFailure),
-    /// The caller is gone.
-    Gone,
-    /// The core wants something else.
+/// Why a step ended without a result.
+enum Interruption {
+    /// The step failed; the core decides on the next command.
+    Failure(StepFailure),
+    /// The caller has disconnected, or the control thread has ended.
+    CallerGone,
+    /// The core has sent another command.
     Command(Box<Command>),
 }
 
-impl From<StepFailure> for Halt {
-    fn from(fault: StepFailure) -> Self {
-        Self::Fault(fault)
+impl From<StepFailure> for Interruption {
+    fn from(failure: StepFailure) -> Self {
+        Self::Failure(failure)
     }
 }
 
@@ -65,7 +67,7 @@
     engines: Engines,
     generation: Generation,
 ) -> mpsc::Receiver<Output> {
-    let (output, receiver) = mpsc::channel(QUEUE);
+    let (output, receiver) = mpsc::channel(QUEUE_OUTPUTS);
     let driver = Driver {
         session,
         engines,
@@ -84,7 +86,7 @@
     engines: Engines,
     generation: Generation,
     output: mpsc::Sender<Output>,
-    /// Names the KV cache of the last prefill.
+    /// Handle of the KV cache of the last prefill.
     handle: String,
     /// Text passed to the caller so far.
     generated: String,
@@ -98,34 +100,34 @@
         loop {
             let command = match next.take() {
                 Some(command) => command,
-                None => match self.idle().await {
+                None => match self.next_command().await {
                     Ok(command) => command,
                     Err(_) => return,
                 },
             };
             match self.perform(command).await {
                 Ok(true) => return self.session.close(),
-                // The core has been told of a fault and decides what next.
-                Ok(false) | Err(Halt::Fault(_)) => {}
-                Err(Halt::Gone) => return,
-                Err(Halt::Command(command)) => next = Some(*command),
+                // A failure has been reported to the core, which decides on the next command.
+                Ok(false) | Err(Interruption::Failure(_)) => {}
+                Err(Interruption::CallerGone) => return,
+                Err(Interruption::Command(command)) => next = Some(*command),
             }
         }
     }
 
     /// Waits for the core's next command.
-    async fn idle(&mut self) -> Result<Command, Halt> {
+    async fn next_command(&mut self) -> Result<Command, Interruption> {
         let output = self.output.clone();
         tokio::select! {
-            command = self.session.commands.recv() => command.ok_or(Halt::Gone),
-            () = output.closed() => Err(Halt::Gone),
+            command = self.session.commands.recv() => command.ok_or(Interruption::CallerGone),
+            () = output.closed() => Err(Interruption::CallerGone),
         }
     }
 
-    /// Does one command; `true` if the request has had its final answer.
-    async fn perform(&mut self, command: Command) -> Result<bool, Halt> {
+    /// Performs a command. Returns `true` if the caller has received its final output.
+    async fn perform(&mut self, command: Command) -> Result<bool, Interruption> {
         match command {
-            Command::Accepted(id) => self.pass(Output::Accepted(id)).await.map(|()| false),
+            Command::Accepted(id) => self.send_output(Output::Accepted(id)).await.map(|()| false),
             Command::Prefill { attempt, target, priority, timeout } => {
                 let result = self.prefill(attempt, target, priority, timeout).await;
                 self.report(attempt, result).map(|()| false)
@@ -134,39 +136,43 @@
                 let result = self.import(attempt, origin, target, timeout).await;
                 self.report(attempt, result).map(|()| false)
             }
-            Command::Decode { attempt, target, resume, priority, stall } => {
+            Command::Decode { attempt, target, resume, priority, stall_timeout } => {
                 let request = DecodeRequest {
                     request_id: attempt.to_string(),
                     resume: resume.map(|r| r.to_string()),
                     offset: self.offset,
-                    max_tokens: self.generation.limit,
+                    max_tokens: self.generation.max_tokens,
                     priority,
                 };
-                let result = self.decode(attempt, target, &request, stall).await;
+                let result = self.decode(attempt, target, &request, stall_timeout).await;
                 let done = result.is_ok();
                 self.report(attempt, result).map(|()| done)
             }
-            Command::Refuse(refusal) => self.pass(Output::Refused(refusal)).await.map(|()| true),
-            Command::Replay(stored) => self.pass(Output::Replayed(stored)).await.map(|()| true),
+            Command::Refuse(refusal) => self.send_output(Output::Refused(refusal)).await.map(|()| true),
+            Command::Replay(stored) => self.send_output(Output::Replayed(stored)).await.map(|()| true),
             Command::Call { .. } => unreachable!("a generation is never a call"),
         }
     }
 
-    /// Tells the core how a step ended. Only a fault is its business; a caller that is gone or a new command
-    /// comes from elsewhere.
-    fn report(&mut self, attempt: AttemptId, result: Result<Event, Halt>) -> Result<(), Halt> {
+    /// Reports the end of a step to the core. A disconnect of the caller or a new command is not reported:
+    /// the core learns of the disconnect from the session, and has sent the command itself.
+    fn report(
+        &mut self,
+        attempt: AttemptId,
+        result: Result<Event, Interruption>,
+    ) -> Result<(), Interruption> {
         match result {
             Ok(event) => self.session.send(event),
-            Err(Halt::Fault(fault)) => {
-                self.session.send(Event::Failed { attempt, failure: fault, offset: self.offset });
+            Err(Interruption::Failure(failure)) => {
+                self.session.send(Event::Failed { attempt, failure, offset: self.offset });
             }
-            Err(halt) => return Err(halt),
+            Err(interruption) => return Err(interruption),
         }
         Ok(())
     }
 
-    async fn pass(&mut self, output: Output) -> Result<(), Halt> {
-        self.output.send(output).await.map_err(|_| Halt::Gone)
+    async fn send_output(&mut self, output: Output) -> Result<(), Interruption> {
+        self.output.send(output).await.map_err(|_| Interruption::CallerGone)
     }
 
     async fn prefill(
@@ -175,7 +181,7 @@
         target: Target,
         priority: u8,
         timeout: Duration,
-    ) -> Result<Event, Halt> {
+    ) -> Result<Event, Interruption> {
         let request = PrefillRequest {
             request_id: attempt.to_string(),
             model: self.generation.model.clone(),
@@ -186,7 +192,7 @@
         };
         let engines = self.engines.clone();
         let step = engines.prefill(target.address, &request, timeout);
-        let response = race(&mut self.session, &self.output, step).await?;
+        let response = run_step(&mut self.session, &self.output, step).await?;
         self.handle = response.handle;
         Ok(Event::Prefilled { attempt, bytes: response.kv_bytes, cached: response.cached_tokens })
     }
@@ -197,12 +203,12 @@
         origin: Target,
         target: Target,
         timeout: Duration,
-    ) -> Result<Event, Halt> {
+    ) -> Result<Event, Interruption> {
         let handle = self.handle.clone();
         let request = ImportRequest { request_id: attempt.to_string(), origin: origin.address, handle };
         let engines = self.engines.clone();
         let step = engines.import(target.address, &request, timeout);
-        race(&mut self.session, &self.output, step).await?;
+        run_step(&mut self.session, &self.output, step).await?;
         Ok(Event::Imported { attempt })
     }
 
@@ -211,42 +217,45 @@
         attempt: AttemptId,
         target: Target,
         request: &DecodeRequest,
-        stall: Duration,
-    ) -> Result<Event, Halt> {
+        stall_timeout: Duration,
+    ) -> Result<Event, Interruption> {
         let engines = self.engines.clone();
-        let open = timely(stall, engines.decode(target.address, request));
-        let mut response = race(&mut self.session, &self.output, open).await?;
-        let mut events = Events::default();
+        let open = with_stall_timeout(stall_timeout, engines.decode(target.address, request));
+        let mut response = run_step(&mut self.session, &self.output, open).await?;
+        let mut parser = EventParser::default();
         let mut batch = Vec::new();
         let mut reported = None;
         loop {
-            let read = timely(stall, async { response.chunk().await.map_err(|_| StepFailure::Broken) });
-            // The end of the stream before the last token is a break: nothing short may pass for whole.
-            let bytes = race(&mut self.session, &self.output, read).await?.ok_or(StepFailure::Broken)?;
-            events.push(&bytes, &mut batch)?;
-            let finish = self.forward(&mut batch).await?;
+            let read = with_stall_timeout(stall_timeout, async {
+                response.chunk().await.map_err(|_| StepFailure::Broken)
+            });
+            // A stream that ends before its last token is broken: a truncated response must not pass for a
+            // complete one.
+            let bytes = run_step(&mut self.session, &self.output, read).await?.ok_or(StepFailure::Broken)?;
+            parser.push(&bytes, &mut batch)?;
+            let finish = self.forward_tokens(&mut batch).await?;
             if let Some(finish) = finish {
-                let stored = self.stored(&finish);
+                let stored = self.stored_response(&finish);
                 return Ok(Event::Finished { attempt, offset: self.offset, stored });
             }
-            if self.offset > 0 && reported.is_none_or(|at| self.offset >= at + REPORT_EVERY) {
+            if self.offset > 0 && reported.is_none_or(|at| self.offset >= at + TOKENS_PER_REPORT) {
                 reported = Some(self.offset);
                 self.session.send(Event::Advanced { attempt, offset: self.offset });
             }
         }
     }
 
-    /// Passes new tokens on; the finish reason if the last one is among them.
-    async fn forward(&mut self, batch: &mut Vec<TokenEvent>) -> Result<Option<String>, Halt> {
+    /// Passes new tokens on to the caller. Returns the finish reason if the last token is among them.
+    async fn forward_tokens(&mut self, batch: &mut Vec<TokenEvent>) -> Result<Option<String>, Interruption> {
         let mut tokens = Vec::with_capacity(batch.len());
         let mut finish = None;
         for event in batch.drain(..) {
             if event.offset < self.offset {
-                // Sent twice by an engine that resumed a little early; the caller has it.
+                // The engine resumed before the requested offset; the caller has this token already.
                 continue;
             }
             if event.offset > self.offset {
-                // A hole would be an answer that is not whole.
+                // A token is missing; the response would be incomplete.
                 return Err(StepFailure::Broken.into());
             }
             self.offset += 1;
@@ -255,35 +264,37 @@
             tokens.push(Token { text: event.text, finish: event.finish });
         }
         if !tokens.is_empty() {
-            self.pass(Output::Tokens(tokens)).await?;
+            self.send_output(Output::Tokens(tokens)).await?;
         }
         Ok(finish)
     }
 
-    fn stored(&self, finish: &str) -> Option<StoredResponse> {
+    fn stored_response(&self, finish: &str) -> Option<StoredResponse> {
         let render = self.generation.render.as_ref()?;
         let stored = render(&self.generated, finish);
         (stored.body.len() <= StoredResponse::MAX_BODY_BYTES).then_some(stored)
     }
 }
 
-/// Runs a step until it ends, the core wants something else, or the caller goes.
-async fn race<T>(
+/// Runs a step until the step ends, the core sends another command, or the caller disconnects.
+async fn run_step<T>(
     session: &mut Session,
     output: &mpsc::Sender<Output>,
     step: impl Future<Output = Result<T, StepFailure>>,
-) -> Result<T, Halt> {
+) -> Result<T, Interruption> {
     tokio::select! {
         result = step => Ok(result?),
-        command = session.commands.recv() => Err(command.map_or(Halt::Gone, |c| Halt::Command(Box::new(c)))),
-        () = output.closed() => Err(Halt::Gone),
+        command = session.commands.recv() => {
+            Err(command.map_or(Interruption::CallerGone, |c| Interruption::Command(Box::new(c))))
+        }
+        () = output.closed() => Err(Interruption::CallerGone),
     }
 }
 
-/// A step without progress for too long has stalled.
-async fn timely<T>(
-    stall: Duration,
+/// Limits the time of a step that must make progress. The step has stalled if it takes longer.
+async fn with_stall_timeout<T>(
+    stall_timeout: Duration,
     step: impl Future<Output = Result<T, StepFailure>>,
 ) -> Result<T, StepFailure> {
-    tokio::time::timeout(stall, step).await.unwrap_or(Err(StepFailure::Stalled))
+    tokio::time::timeout(stall_timeout, step).await.unwrap_or(Err(StepFailure::Stalled))
 }
--- a/crates/daemon/src/driver/mod.rs
+++ b/crates/daemon/src/driver/mod.rs
@@ -1,12 +1,14 @@
-//! A driver does for one request what the core decides, step by step, and reports how each step ended.
+//! Drivers of requests. A driver performs the steps of one request that the core decides on, and reports the
+//! end of each step to the core.
 //!
-//! It runs in a task of its own and writes into a queue that the caller's HTTP response reads. A step races
-//! against two things: a new command, which makes the step obsolete, and the caller going away, which ends
-//! the driver; dropping a step closes its connection, and dropping the session tells the core to cancel.
+//! A driver runs in its own task and writes into a queue that the caller's HTTP response reads. Two events
+//! interrupt a step: a new command of the core, which makes the step obsolete, and a disconnect of the
+//! caller, which ends the driver. Dropping a step closes the step's connection. Dropping the session makes
+//! the core cancel the request's work. A service call with an idempotency key is not interrupted; see `call`.
 
 mod call;
 mod generate;
 mod sse;
 
-pub(crate) use call::{CallOutput, CallPlan, start_call};
+pub(crate) use call::{CallOutput, CallRequest, start_call};
 pub(crate) use generate::{Generation, Output, Render, Token, start_generation};
--- a/crates/daemon/src/driver/sse.rs
+++ b/crates/daemon/src/driver/sse.rs
@@ -1,19 +1,19 @@
-//! Token events out of the bytes of a server-sent event stream.
+//! Parser of token events in a stream of server-sent events.
 
 use teaselshunt_core::StepFailure;
 use teaselshunt_wire::engine::TokenEvent;
 
-/// Longest line; a longer one is not a token.
-const LINE_MAX: usize = 64 * 1024;
+/// Longest line. A stream with a longer line is broken.
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Collects bytes until events are whole.
+/// Incremental parser, which buffers bytes until an event is complete.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventParser {
     buffer: Vec<u8>,
 }
 
-impl Events {
-    /// Takes bytes in and appends the events that are whole now.
+impl EventParser {
+    /// Adds received bytes and appends the events that are complete to `out`.
     pub(crate) fn push(&mut self, bytes: &[u8], out: &mut Vec<TokenEvent>) -> Result<(), StepFailure> {
         self.buffer.extend_from_slice(bytes);
         let mut start = 0;
@@ -26,6 +26,6 @@
             out.push(serde_json::from_slice(data).map_err(|_| StepFailure::Broken)?);
         }
         self.buffer.drain(..start);
-        if self.buffer.len() > LINE_MAX { Err(StepFailure::Broken) } else { Ok(()) }
+        if self.buffer.len() > MAX_LINE_BYTES { Err(StepFailure::Broken) } else { Ok(()) }
     }
 }
--- a/crates/daemon/src/engines.rs
+++ b/crates/daemon/src/engines.rs
@@ -1,4 +1,5 @@
-//! Calls to engines: the steps of the engine protocol, and what their failures prove.
+//! Calls to engines: the steps of the engine protocol, and the classification of their failures by what they
+//! prove.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,31 +13,32 @@
     ImportResponse, LoadReport, PrefillRequest, PrefillResponse,
 };
 
-/// Longest time to make a connection.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Sent bytes that the other end's kernel does not confirm for this long break the connection.
-const UNCONFIRMED: Duration = Duration::from_secs(3);
-/// Longest time for small calls that engines answer from memory.
-const SHORT: Duration = Duration::from_secs(2);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a connection fails if the remote kernel has not acknowledged the bytes sent.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of a small call that engines answer from memory (cancel, load report).
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes calls to engines and services.
+/// HTTP client for calls to engines and services.
 #[derive(Debug, Clone)]
 pub(crate) struct Engines {
     client: Client,
 }
 
 impl Engines {
-    /// No connection is used twice. One that something on the way has lost track of looks open, takes a
-    /// request and never answers; a step on it would cost its whole timeout. A connection that was just made
-    /// is known to work, and on the networks between instances and endpoints it costs a millisecond.
+    /// No connection is reused. If a network device has lost the state of a connection, the connection
+    /// appears open and accepts a request, but no response arrives, and a step on it fails only after its
+    /// whole timeout. A new connection is known to work, and opening one takes a millisecond on the networks
+    /// between instances and endpoints.
     pub(crate) fn new() -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .no_proxy()
             .http1_only()
             .pool_max_idle_per_host(0)
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            .tcp_user_timeout(UNCONFIRMED)
+            .tcp_user_timeout(TCP_USER_TIMEOUT)
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
             .build()?;
@@ -54,7 +56,7 @@
         timeout: Duration,
     ) -> Result<PrefillResponse, StepFailure> {
         let call = self.post(address, engine::PREFILL_PATH, request).timeout(timeout);
-        read_json(send(call).await?).await
+        read_json(send_step(call).await?).await
     }
 
     pub(crate) async fn import(
@@ -64,32 +66,32 @@
         timeout: Duration,
     ) -> Result<ImportResponse, StepFailure> {
         let call = self.post(address, engine::IMPORT_PATH, request).timeout(timeout);
-        read_json(send(call).await?).await
+        read_json(send_step(call).await?).await
     }
 
-    /// Opens a decode stream; the caller of this function times its progress.
+    /// Opens a decode stream without a timeout; the calling function checks that the stream makes progress.
     pub(crate) async fn decode(
         &self,
         address: SocketAddr,
         request: &DecodeRequest,
     ) -> Result<Response, StepFailure> {
-        send(self.post(address, engine::DECODE_PATH, request)).await
+        send_step(self.post(address, engine::DECODE_PATH, request)).await
     }
 
-    /// Whether the engine confirmed that it holds nothing of the try any more.
+    /// Cancels an attempt; `true` if the engine confirmed that it holds nothing for the attempt any more.
     pub(crate) async fn cancel(&self, address: SocketAddr, attempt: AttemptId) -> bool {
         let request = CancelRequest { request_id: attempt.to_string() };
-        let call = self.post(address, engine::CANCEL_PATH, &request).timeout(SHORT);
-        let Ok(response) = send(call).await else {
+        let call = self.post(address, engine::CANCEL_PATH, &request).timeout(SHORT_CALL_TIMEOUT);
+        let Ok(response) = send_step(call).await else {
             return false;
         };
         read_json::<CancelResponse>(response).await.is_ok()
     }
 
     pub(crate) async fn load(&self, address: SocketAddr) -> Option<EngineLoad> {
-        let call = self.client.get(url(address, engine::LOAD_PATH)).timeout(SHORT);
-        let report: LoadReport = read_json(send(call).await.ok()?).await.ok()?;
-        // Work that is not of this system has other ids; it counts as load but cannot be owned.
+        let call = self.client.get(url(address, engine::LOAD_PATH)).timeout(SHORT_CALL_TIMEOUT);
+        let report: LoadReport = read_json(send_step(call).await.ok()?).await.ok()?;
+        // Work of other systems has ids of another form and no owning instance; it is left out.
         let ids = report.running.iter().filter_map(|r| r.request_id.parse().ok());
         let running: Vec<Running> = ids.map(|attempt| Running { attempt }).collect();
         Some(EngineLoad { running, waiting: report.waiting, leaving: report.leaving })
@@ -104,7 +106,8 @@
     format!("http://{address}{path}")
 }
 
-/// Sends a call, and tells a failure that proves that nothing left this process from one that does not.
+/// Sends a request. The error [`StepFailure::NotSent`] proves that nothing of the request left this process;
+/// the other errors do not.
 pub(crate) async fn dispatch(call: RequestBuilder) -> Result<Response, StepFailure> {
     match call.send().await {
         Ok(response) => Ok(response),
@@ -114,17 +117,18 @@
     }
 }
 
-/// Sends a step to an engine; an answer that is no success is a fault.
-async fn send(call: RequestBuilder) -> Result<Response, StepFailure> {
+/// Sends a step to an engine. A response without a success status is a failure.
+async fn send_step(call: RequestBuilder) -> Result<Response, StepFailure> {
     let response = dispatch(call).await?;
     if response.status().is_success() {
         return Ok(response);
     }
-    Err(fault(response).await)
+    Err(step_failure(response).await)
 }
 
-/// Only the engine's own words prove that it did not begin; a bare status may come from anything between.
-async fn fault(response: Response) -> StepFailure {
+/// Classifies the error response to a step. Only an error body of the engine itself proves that the engine
+/// did not start the step; a status without this body may come from a proxy on the way.
+async fn step_failure(response: Response) -> StepFailure {
     let status = response.status();
     let Ok(EngineError { error }) = read_json(response).await else {
         return StepFailure::Broken;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,18 +1,19 @@
-//! The daemon: one entry instance as a process.
+//! The daemon: the process of one entry instance.
 //!
 //! ```text
 //! supervisor
-//! ├── control     one thread, owns the decision core; events in, effects out
-//! ├── callers     HTTP for callers; a driver task per request does the steps that the core decides
+//! ├── control     one thread, which owns the decision core: events in, effects out
+//! ├── callers     HTTP for callers; one driver task per request performs the steps that the core decides on
 //! ├── operators   HTTP for operators: metrics, status, audit trail, drain
 //! ├── peers       QUIC between instances, mutual TLS
-//! └── platform    watches of configuration and instance list, read only
+//! └── platform    watches the configuration and the list of instances, read only
 //! ```
 //!
-//! All state that decisions rest on lives on the control thread. Traffic threads hold only what belongs to
-//! one request or one connection, talk to the control thread through one queue, and never wait for it while
-//! they pass tokens on. If the control thread panics, an invariant is broken: the process says so and ends,
-//! and the platform replaces it; going on would risk the very promises that the invariant guards.
+//! The control thread owns all state that decisions depend on. Traffic threads hold only the state of single
+//! requests and connections. They send to the control thread through one queue, and never wait for the
+//! control thread while they pass tokens on. A panic of the control thread means that an invariant is broken:
+//! the process logs this and exits, and the platform replaces the process. Continuing could violate the
+//! guarantees that the invariant protects.
 
 mod acceptor;
 mod audit;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,12 +1,12 @@
-//! `teaselshuntd`: one entry instance.
+//! `teaselshuntd`: the program of one entry instance.
 
 use std::process::ExitCode;
 
 use gumdrop::Options;
 use teaselshunt_settings::parse_settings;
 
-/// Exit code for bad arguments or settings.
-const USAGE: u8 = 2;
+/// Exit code for invalid arguments or settings.
+const EXIT_USAGE: u8 = 2;
 
 #[derive(Debug, Options)]
 struct Arguments {
@@ -26,20 +26,20 @@
     }
     let Some(path) = arguments.settings else {
         eprintln!("usage: teaselshuntd SETTINGS.json\n\n{}", Arguments::usage());
-        return ExitCode::from(USAGE);
+        return ExitCode::from(EXIT_USAGE);
     };
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(error) => {
             eprintln!("{path}: {error}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let settings = match parse_settings(&text) {
         Ok(settings) => settings,
-        Err(mistakes) => {
-            eprintln!("{path}: these settings cannot be used:\n{mistakes}");
-            return ExitCode::from(USAGE);
+        Err(errors) => {
+            eprintln!("{path}: invalid settings:\n{errors}");
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match teaselshunt_daemon::run(settings) {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -8,19 +8,21 @@
 };
 use teaselshunt_core::InstanceView;
 
-/// Upper bounds of the buckets, in seconds; they hold the targets of 68 ms and 1.1 s.
-const FIRST_BUCKETS: [f64; 10] = [0.05, 0.1, 0.2, 0.4, 0.7, 1.1, 2.0, 4.0, 8.0, 16.0];
-const GAP_BUCKETS: [f64; 9] = [0.005, 0.01, 0.02, 0.04, 0.068, 0.1, 0.2, 0.5, 2.0];
+/// Upper bounds of the buckets of the time to the first token, in seconds. The target of 1.1 s is one of
+/// them.
+const FIRST_TOKEN_BUCKETS: [f64; 10] = [0.05, 0.1, 0.2, 0.4, 0.7, 1.1, 2.0, 4.0, 8.0, 16.0];
+/// Upper bounds of the buckets of the gap between tokens, in seconds. The target of 68 ms is one of them.
+const TOKEN_GAP_BUCKETS: [f64; 9] = [0.005, 0.01, 0.02, 0.04, 0.068, 0.1, 0.2, 0.5, 2.0];
 
-/// Everything that an instance measures.
+/// Metrics of an instance.
 ///
-/// Counts of decisions come from the core's snapshot, taken when the metrics are read; only what traffic
-/// threads alone see is recorded as it happens.
+/// Counters of decisions are copied from the core's view when the metrics are read. Only values that are
+/// known to the traffic threads alone are recorded as they occur.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    first: HistogramVec,
-    gap: HistogramVec,
+    first_token: HistogramVec,
+    token_gap: HistogramVec,
     tokens: IntCounterVec,
     arrived: IntCounter,
     abandoned: IntCounter,
@@ -43,7 +45,7 @@
     waiting: IntGaugeVec,
     members: IntGaugeVec,
     slots: IntGaugeVec,
-    used: IntGaugeVec,
+    used_slots: IntGaugeVec,
 }
 
 impl Metrics {
@@ -53,15 +55,33 @@
         let registry = Registry::new_custom(Some("teaselshunt".to_owned()), None)?;
         let r = &registry;
         Ok(Self {
-            first: histogram(r, "first_token_seconds", "From arrival to the first token.", &FIRST_BUCKETS)?,
-            gap: histogram(r, "token_gap_seconds", "Between batches of tokens of one answer.", &GAP_BUCKETS)?,
+            first_token: histogram(
+                r,
+                "first_token_seconds",
+                "From arrival to the first token.",
+                &FIRST_TOKEN_BUCKETS,
+            )?,
+            token_gap: histogram(
+                r,
+                "token_gap_seconds",
+                "Between batches of tokens of one response.",
+                &TOKEN_GAP_BUCKETS,
+            )?,
             tokens: counters(r, "tokens_total", "Tokens passed to callers.", &["model"])?,
-            arrived: counter(r, "requests_total", "Requests taken from callers.")?,
-            abandoned: counter(r, "requests_abandoned_total", "Callers gone before their answer was whole.")?,
-            replayed: counter(r, "answers_replayed_total", "Answers repeated for an idempotency key.")?,
-            retried: counter(r, "retries_total", "Tries after the first.")?,
-            resumed: counter(r, "streams_resumed_total", "Streams taken up on a new connection.")?,
-            orphans: counter(r, "orphans_cancelled_total", "Work of dead instances cancelled at engines.")?,
+            arrived: counter(r, "requests_total", "Requests received from callers.")?,
+            abandoned: counter(
+                r,
+                "requests_abandoned_total",
+                "Callers that disconnected before their response was complete.",
+            )?,
+            replayed: counter(
+                r,
+                "answers_replayed_total",
+                "Stored responses repeated for an idempotency key.",
+            )?,
+            retried: counter(r, "retries_total", "Attempts after the first.")?,
+            resumed: counter(r, "streams_resumed_total", "Streams resumed on a new connection.")?,
+            orphans: counter(r, "orphans_cancelled_total", "Orphaned attempts cancelled at engines.")?,
             refused: counters(r, "requests_refused_total", "Refusals by error code.", &["code"])?,
             admitted: gauges(
                 r,
@@ -70,54 +90,54 @@
                 &["team"],
             )?,
             level: gauges(r, "team_level_units", "Units that a team may be admitted now.", &["team"])?,
-            answered: counters(r, "answers_total", "Whole answers.", &["class", "site"])?,
+            answered: counters(r, "answers_total", "Complete responses.", &["class", "site"])?,
             good: counters(
                 r,
                 "answers_good_total",
-                "Whole answers within both targets.",
+                "Complete responses within both targets.",
                 &["class", "site"],
             )?,
             prefilled: counters(r, "prefill_tokens_total", "Prompt tokens prefilled.", &["class", "site"])?,
             wasted: counters(
                 r,
                 "prefill_tokens_wasted_total",
-                "Prefilled and not used.",
+                "Prompt tokens prefilled and not used.",
                 &["class", "site"],
             )?,
-            version: gauge(r, "configuration_version", "Configuration version in force.")?,
+            version: gauge(r, "configuration_version", "Active configuration version.")?,
             revision: gauge(r, "instances_revision", "Revision of the instance list in use.")?,
             requests: gauge(r, "requests_in_progress", "Requests in progress.")?,
-            keys: gauge(r, "idempotency_keys", "Idempotency keys on record here.")?,
+            keys: gauge(r, "idempotency_keys", "Idempotency keys recorded by this instance.")?,
             cancels: gauge(r, "cancels_unconfirmed", "Cancels that engines have not confirmed.")?,
             waiting: gauges(r, "requests_waiting", "Requests waiting for a slot.", &["pool"])?,
             members: gauges(r, "members", "Other instances by health.", &["health"])?,
             slots: gauges(r, "slots", "Slots of endpoints that take new work.", &["pool", "site", "role"])?,
-            used: gauges(r, "slots_used", "Slots taken by this instance.", &["pool", "site", "role"])?,
+            used_slots: gauges(r, "slots_used", "Slots taken by this instance.", &["pool", "site", "role"])?,
             registry,
         })
     }
 
-    /// Starts to watch the latency of an answer.
-    pub(crate) fn watch(&self, model: &str, arrived: Instant) -> Watch {
-        Watch {
-            first: self.first.with_label_values(&[model]),
-            gap: self.gap.with_label_values(&[model]),
+    /// Creates the recorder for the latency of a response.
+    pub(crate) fn latency_recorder(&self, model: &str, arrived: Instant) -> LatencyRecorder {
+        LatencyRecorder {
+            first_token: self.first_token.with_label_values(&[model]),
+            token_gap: self.token_gap.with_label_values(&[model]),
             tokens: self.tokens.with_label_values(&[model]),
             arrived,
-            last: None,
+            last_batch: None,
         }
     }
 
-    /// The metrics as text, with the counts of a snapshot.
-    pub(crate) fn render(&self, snapshot: &InstanceView) -> Result<Vec<u8>, prometheus::Error> {
-        self.take(snapshot);
+    /// Renders the metrics in the text format, with the counters of a view.
+    pub(crate) fn render(&self, view: &InstanceView) -> Result<Vec<u8>, prometheus::Error> {
+        self.update(view);
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 
-    fn take(&self, snapshot: &InstanceView) {
-        let counts = &snapshot.counters;
+    fn update(&self, view: &InstanceView) {
+        let counts = &view.counters;
         set(&self.arrived, counts.arrived);
         set(&self.abandoned, counts.abandoned);
         set(&self.replayed, counts.replayed);
@@ -134,46 +154,51 @@
             set(&self.prefilled.with_label_values(&labels), count.prefilled_tokens);
             set(&self.wasted.with_label_values(&labels), count.wasted_tokens);
         }
-        self.version.set(snapshot.version as i64);
-        self.revision.set(snapshot.revision as i64);
-        self.requests.set(snapshot.requests as i64);
-        self.keys.set(snapshot.keys as i64);
-        self.cancels.set(snapshot.cancels as i64);
-        self.take_groups(snapshot);
-        self.take_teams(snapshot);
+        self.version.set(view.version as i64);
+        self.revision.set(view.revision as i64);
+        self.requests.set(view.requests as i64);
+        self.keys.set(view.keys as i64);
+        self.cancels.set(view.cancels as i64);
+        self.update_pools(view);
+        self.update_teams(view);
     }
 
-    /// Teams by their name; operators configure them, so that there are no more than that.
-    fn take_teams(&self, snapshot: &InstanceView) {
+    /// Sets the gauges of teams, by name. Operators configure the teams, so the number of labels is bounded.
+    fn update_teams(&self, view: &InstanceView) {
         self.admitted.reset();
         self.level.reset();
-        for team in &snapshot.teams {
+        for team in &view.teams {
             self.admitted.with_label_values(&[&team.name]).set(team.admitted);
             self.level.with_label_values(&[&team.name]).set(team.level);
         }
     }
 
-    fn take_groups(&self, snapshot: &InstanceView) {
-        for (pool, &count) in &snapshot.waiting {
+    /// Sets the gauges of pools, members and slots.
+    fn update_pools(&self, view: &InstanceView) {
+        for (pool, &count) in &view.waiting {
             self.waiting.with_label_values(&[pool]).set(count as i64);
         }
         self.members.reset();
-        for member in &snapshot.members {
+        for member in &view.members {
             self.members.with_label_values(&[member.health.text()]).inc();
         }
         self.slots.reset();
-        self.used.reset();
-        for endpoint in &snapshot.endpoints {
+        self.used_slots.reset();
+        for endpoint in &view.endpoints {
             let role = format!("{:?}", endpoint.role).to_lowercase();
             let labels = [endpoint.pool.as_str(), endpoint.site.as_str(), role.as_str()];
-            let open = !endpoint.leaving && !endpoint.paused;
-            self.slots.with_label_values(&labels).add(if open { i64::from(endpoint.slots) } else { 0 });
-            self.used.with_label_values(&labels).add(i64::from(endpoint.own));
+            let accepts_work = !endpoint.leaving && !endpoint.paused;
+            self.slots.with_label_values(&labels).add(if accepts_work {
+                i64::from(endpoint.slots)
+            } else {
+                0
+            });
+            self.used_slots.with_label_values(&labels).add(i64::from(endpoint.own));
         }
     }
 }
 
-/// The core's counts only grow, so the difference is never negative.
+/// Raises a counter to the core's total. The core's counters only rise, so the difference is never negative.
 fn set(counter: &IntCounter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
@@ -224,25 +249,25 @@
     Ok(metric)
 }
 
-/// Latency of one answer.
+/// Records the latency of one response.
 #[derive(Debug)]
-pub(crate) struct Watch {
-    first: prometheus::Histogram,
-    gap: prometheus::Histogram,
+pub(crate) struct LatencyRecorder {
+    first_token: prometheus::Histogram,
+    token_gap: prometheus::Histogram,
     tokens: IntCounter,
     arrived: Instant,
-    last: Option<Instant>,
+    last_batch: Option<Instant>,
 }
 
-impl Watch {
-    /// A batch of tokens goes to the caller.
-    pub(crate) fn tokens(&mut self, count: usize) {
+impl LatencyRecorder {
+    /// Records that a batch of tokens is passed to the caller.
+    pub(crate) fn record_batch(&mut self, count: usize) {
         let now = Instant::now();
-        match self.last {
-            None => self.first.observe(seconds(now - self.arrived)),
-            Some(last) => self.gap.observe(seconds(now - last)),
+        match self.last_batch {
+            None => self.first_token.observe(seconds(now - self.arrived)),
+            Some(last) => self.token_gap.observe(seconds(now - last)),
         }
-        self.last = Some(now);
+        self.last_batch = Some(now);
         self.tokens.inc_by(count as u64);
     }
 }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: metrics, status, audit trail, readiness, drain.
+//! The HTTP server for operators: metrics, status, audit trail, readiness, liveness and drain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 use teaselshunt_wire::status::{ClassStatus, EndpointStatus, MemberStatus, Status, TeamStatus};
 use tokio::net::TcpListener;
 
-use crate::audit::Trail;
+use crate::audit::AuditTrail;
 use crate::control::Control;
 use crate::metrics::Metrics;
 
-/// What handlers need.
+/// State that the HTTP handlers share.
 #[derive(Debug, Clone)]
-pub(crate) struct Desk {
+pub(crate) struct OperatorApi {
     pub(crate) instance: String,
     pub(crate) domain: String,
     pub(crate) control: Control,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) trail: Arc<Trail>,
+    pub(crate) trail: Arc<AuditTrail>,
 }
 
-/// Serves operators until the process ends.
-pub(crate) async fn serve(listener: TcpListener, desk: Desk) -> std::io::Result<()> {
+/// Serves operators until the process exits.
+pub(crate) async fn serve(listener: TcpListener, api: OperatorApi) -> std::io::Result<()> {
     let route = Route::new()
         .at("/metrics", get(metrics))
         .at("/status", get(status))
@@ -35,39 +35,39 @@
         .at("/ready", get(ready))
         .at("/live", get(live))
         .at("/drain", post(drain))
-        .data(desk);
+        .data(api);
     let acceptor = TcpAcceptor::from_tokio(listener)?;
     Server::new_with_acceptor(acceptor).run(route).await
 }
 
 #[handler]
-async fn metrics(Data(desk): Data<&Desk>) -> Response {
-    let Some(snapshot) = desk.control.snapshot().await else {
+async fn metrics(Data(api): Data<&OperatorApi>) -> Response {
+    let Some(view) = api.control.view().await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
-    match desk.metrics.render(&snapshot) {
+    match api.metrics.render(&view) {
         Ok(text) => Response::builder().content_type("text/plain; version=0.0.4").body(text),
         Err(error) => error.to_string().with_status(StatusCode::INTERNAL_SERVER_ERROR).into_response(),
     }
 }
 
 #[handler]
-async fn status(Data(desk): Data<&Desk>) -> Response {
-    match desk.control.snapshot().await {
-        Some(snapshot) => Json(report(desk, snapshot)).into_response(),
+async fn status(Data(api): Data<&OperatorApi>) -> Response {
+    match api.control.view().await {
+        Some(view) => Json(status_of(api, view)).into_response(),
         None => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-fn report(desk: &Desk, snapshot: InstanceView) -> Status {
-    let members = snapshot.members.into_iter().map(|m| MemberStatus {
+fn status_of(api: &OperatorApi, view: InstanceView) -> Status {
+    let members = view.members.into_iter().map(|m| MemberStatus {
         name: m.name,
         domain: m.domain,
         health: m.health.text().to_owned(),
         version: m.version,
         leaving: m.leaving,
     });
-    let endpoints = snapshot.endpoints.into_iter().map(|e| EndpointStatus {
+    let endpoints = view.endpoints.into_iter().map(|e| EndpointStatus {
         name: e.name,
         site: e.site,
         pool: e.pool,
@@ -78,7 +78,7 @@
         leaving: e.leaving,
         reachable: !e.paused,
     });
-    let classes = snapshot.counters.classes.into_iter().map(|((class, site), c)| ClassStatus {
+    let classes = view.counters.classes.into_iter().map(|((class, site), c)| ClassStatus {
         class,
         site,
         answered: c.answered,
@@ -86,20 +86,20 @@
         prefilled: c.prefilled_tokens,
         wasted: c.wasted_tokens,
     });
-    let teams = snapshot.teams.into_iter().map(|team| {
+    let teams = view.teams.into_iter().map(|team| {
         let TeamView { name, rate, burst, level, admitted } = team;
         TeamStatus { name, rate, burst, level, admitted }
     });
-    let refused = snapshot.counters.refused.into_iter().map(|(code, count)| (code.to_owned(), count));
+    let refused = view.counters.refused.into_iter().map(|(code, count)| (code.to_owned(), count));
     Status {
-        instance: desk.instance.clone(),
-        domain: desk.domain.clone(),
-        version: snapshot.version,
-        revision: snapshot.revision,
-        stopping: snapshot.stopping,
-        requests: snapshot.requests,
-        waiting: snapshot.waiting,
-        arrived: snapshot.counters.arrived,
+        instance: api.instance.clone(),
+        domain: api.domain.clone(),
+        version: view.version,
+        revision: view.revision,
+        stopping: view.stopping,
+        requests: view.requests,
+        waiting: view.waiting,
+        arrived: view.counters.arrived,
         refused: refused.collect::<BTreeMap<_, _>>(),
         members: members.collect(),
         endpoints: endpoints.collect(),
@@ -108,22 +108,24 @@
     }
 }
 
+/// Query parameters of `/audit`.
 #[derive(Debug, Deserialize)]
 struct From {
+    /// Sequence number of the first line to return.
     #[serde(default)]
     from: u64,
 }
 
 #[handler]
-fn audit(Data(desk): Data<&Desk>, Query(query): Query<From>) -> Response {
-    Response::builder().content_type("application/x-ndjson").body(desk.trail.lines(query.from))
+fn audit(Data(api): Data<&OperatorApi>, Query(query): Query<From>) -> Response {
+    Response::builder().content_type("application/x-ndjson").body(api.trail.lines(query.from))
 }
 
-/// Ready once a configuration is in force and no stop is under way; what a balancer should ask.
+/// Readiness for load balancers: a configuration is active and the instance is not shutting down.
 #[handler]
-async fn ready(Data(desk): Data<&Desk>) -> StatusCode {
-    match desk.control.snapshot().await {
-        Some(snapshot) if snapshot.version > 0 && !snapshot.stopping => StatusCode::OK,
+async fn ready(Data(api): Data<&OperatorApi>) -> StatusCode {
+    match api.control.view().await {
+        Some(view) if view.version > 0 && !view.stopping => StatusCode::OK,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
@@ -133,9 +135,9 @@
     StatusCode::OK
 }
 
-/// Begins a planned stop, like SIGTERM.
+/// Starts a graceful shutdown, as SIGTERM does.
 #[handler]
-fn drain(Data(desk): Data<&Desk>) -> StatusCode {
-    desk.control.send(Event::Stop);
+fn drain(Data(api): Data<&OperatorApi>) -> StatusCode {
+    api.control.send(Event::Stop);
     StatusCode::ACCEPTED
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,8 +1,9 @@
-//! Messages between instances over QUIC: one message a stream, connections made when needed.
+//! Messages between instances over QUIC: one message per stream, connections made on demand.
 //!
-//! Each peer has a queue and a task that owns the connection to it. Messages are not repeated here: whoever
-//! needs an answer asks again. A connection that fails or falls silent is dropped, and the next message makes
-//! a new one from a new local port, because whatever lost track of the old one may hold it against the port.
+//! Each peer has a queue and a task that owns the connection to the peer. A lost message is not sent again by
+//! this module; the core repeats a message that it needs an answer to. A connection that fails or times out
+//! is dropped, and the next message opens a new connection from a new local port: a network device that lost
+//! the state of the old connection may keep dropping packets from the old port.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,18 +20,18 @@
 use crate::control::Control;
 use crate::tls::{self, KeyError, Tls};
 
-/// Messages that wait for one peer; more are dropped, as the network might.
-const QUEUE: usize = 1024;
-/// A peer's task ends after this long without a message.
-const IDLE: Duration = Duration::from_secs(30);
-/// Longest time to make a connection.
-const CONNECT: Duration = Duration::from_secs(2);
-/// Pause after a failed connection; messages meanwhile are dropped.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Time between two looks at the key files, so that new keys are taken without a stop.
-const KEYS_EVERY: Duration = Duration::from_secs(5);
-
-/// Why peers cannot be listened to.
+/// Capacity of the queue to one peer. Further messages are dropped, as the network may drop them too.
+const QUEUE_MESSAGES: usize = 1024;
+/// Time without a message after which the task of a peer ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a failed delivery; messages queued meanwhile are dropped.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Time between two polls of the key files. New keys are applied without a restart.
+const KEY_POLL_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Why the listener for peers cannot start.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
     #[error(transparent)]
@@ -40,7 +41,7 @@
 }
 
 #[derive(Debug)]
-struct Outgoing {
+struct OutgoingMessage {
     address: SocketAddr,
     name: Arc<str>,
     message: Message,
@@ -51,7 +52,7 @@
 pub(crate) struct Peers {
     listener: Endpoint,
     client: Arc<Mutex<quinn::ClientConfig>>,
-    links: Arc<Mutex<HashMap<InstanceId, mpsc::Sender<Outgoing>>>>,
+    queues: Arc<Mutex<HashMap<InstanceId, mpsc::Sender<OutgoingMessage>>>>,
     control: Control,
     log: Logger,
 }
@@ -65,25 +66,25 @@
     ) -> Result<Self, PeerError> {
         let Tls { client, server } = tls::load(keys)?;
         let listener = Endpoint::server(server, address)?;
-        Ok(Self { listener, client: Arc::new(Mutex::new(client)), links: Arc::default(), control, log })
+        Ok(Self { listener, client: Arc::new(Mutex::new(client)), queues: Arc::default(), control, log })
     }
 
-    /// Takes connections for as long as the process runs.
+    /// Accepts connections of peers until the process exits.
     pub(crate) async fn accept(self) {
         while let Some(incoming) = self.listener.accept().await {
             let peers = self.clone();
             tokio::spawn(async move {
                 match incoming.await {
                     Ok(connection) => peers.receive(connection).await,
-                    Err(error) => debug!(peers.log, "a peer was not let in"; "error" => %error),
+                    Err(error) => debug!(peers.log, "handshake with a peer failed"; "error" => %error),
                 }
             });
         }
     }
 
     async fn receive(&self, connection: Connection) {
-        let Some(from) = tls::peer(&connection) else {
-            warn!(self.log, "a peer's certificate names nobody"; "address" => %connection.remote_address());
+        let Some(from) = tls::peer_instance(&connection) else {
+            warn!(self.log, "a peer's certificate has no DNS name"; "address" => %connection.remote_address());
             return;
         };
         while let Ok(mut stream) = connection.accept_uni().await {
@@ -92,7 +93,8 @@
                 let Ok(bytes) = stream.read_to_end(MAX_MESSAGE_BYTES).await else {
                     return;
                 };
-                // A peer of a later version may say things that this one does not know; they are passed over.
+                // A peer that runs a later version may send messages that this version cannot decode; they
+                // are ignored.
                 if let Ok(message) = decode(&bytes) {
                     control.send(Event::Received { from, message });
                 }
@@ -102,44 +104,51 @@
 
     /// Queues a message for a peer.
     pub(crate) fn send(&self, to: InstanceId, name: Arc<str>, address: SocketAddr, message: Message) {
-        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let outgoing = Outgoing { address, name, message };
-        let Some(link) = links.get(&to) else {
-            return self.open(&mut links, to, outgoing);
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        let outgoing = OutgoingMessage { address, name, message };
+        let Some(queue) = queues.get(&to) else {
+            return self.start_sender(&mut queues, to, outgoing);
         };
-        // A full queue drops the message; an ended task is replaced.
-        if let Err(mpsc::error::TrySendError::Closed(outgoing)) = link.try_send(outgoing) {
-            self.open(&mut links, to, outgoing);
+        // A full queue drops the message; a task that has ended is replaced.
+        if let Err(mpsc::error::TrySendError::Closed(outgoing)) = queue.try_send(outgoing) {
+            self.start_sender(&mut queues, to, outgoing);
         }
     }
 
-    fn open(&self, links: &mut HashMap<InstanceId, mpsc::Sender<Outgoing>>, to: InstanceId, first: Outgoing) {
-        let (sender, receiver) = mpsc::channel(QUEUE);
+    /// Starts the task that sends messages to a peer.
+    fn start_sender(
+        &self,
+        queues: &mut HashMap<InstanceId, mpsc::Sender<OutgoingMessage>>,
+        to: InstanceId,
+        first: OutgoingMessage,
+    ) {
+        let (sender, receiver) = mpsc::channel(QUEUE_MESSAGES);
         let _ = sender.try_send(first);
-        links.insert(to, sender);
-        tokio::spawn(Link { peers: self.clone(), connection: None }.run(receiver));
+        queues.insert(to, sender);
+        tokio::spawn(PeerSender { peers: self.clone(), connection: None }.run(receiver));
     }
 
-    fn client(&self) -> quinn::ClientConfig {
+    fn client_config(&self) -> quinn::ClientConfig {
         self.client.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Takes new keys when the files change.
-    pub(crate) async fn renew_keys(self, keys: Keys) {
-        let mut last = contents(&keys);
+    /// Polls the key files and applies new keys when the files change.
+    pub(crate) async fn reload_keys(self, keys: Keys) {
+        let mut last = read_key_files(&keys);
         loop {
-            tokio::time::sleep(KEYS_EVERY).await;
-            let now = contents(&keys);
-            if now == last {
+            tokio::time::sleep(KEY_POLL_INTERVAL).await;
+            let current = read_key_files(&keys);
+            if current == last {
                 continue;
             }
-            // Files may be half written; then this fails, and the next look finds them whole.
+            // The files may be only partly written. Loading fails then, and the next poll reads them
+            // completely.
             match tls::load(&keys) {
                 Ok(Tls { client, server }) => {
                     *self.client.lock().unwrap_or_else(PoisonError::into_inner) = client;
                     self.listener.set_server_config(Some(server));
                     info!(self.log, "new keys are in use");
-                    last = now;
+                    last = current;
                 }
                 Err(error) => warn!(self.log, "new keys cannot be used"; "error" => %error),
             }
@@ -147,56 +156,56 @@
     }
 }
 
-fn contents(keys: &Keys) -> Vec<Option<Vec<u8>>> {
+fn read_key_files(keys: &Keys) -> Vec<Option<Vec<u8>>> {
     [&keys.authority, &keys.certificate, &keys.private].map(|path| std::fs::read(path).ok()).to_vec()
 }
 
-/// The way to one peer.
-struct Link {
+/// Task that sends messages to one peer and owns the connection to the peer.
+struct PeerSender {
     peers: Peers,
     connection: Option<Connection>,
 }
 
-impl Link {
-    async fn run(mut self, mut queue: mpsc::Receiver<Outgoing>) {
-        while let Ok(Some(outgoing)) = tokio::time::timeout(IDLE, queue.recv()).await {
-            // Twice, because a connection that ended a moment ago shows it only when it is used.
+impl PeerSender {
+    async fn run(mut self, mut queue: mpsc::Receiver<OutgoingMessage>) {
+        while let Ok(Some(outgoing)) = tokio::time::timeout(IDLE_TIMEOUT, queue.recv()).await {
+            // Up to two attempts: the end of a recently closed connection is detected only when it is used.
             if !self.deliver(&outgoing).await && !self.deliver(&outgoing).await {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RECONNECT_DELAY).await;
                 while queue.try_recv().is_ok() {}
             }
         }
     }
 
-    async fn deliver(&mut self, outgoing: &Outgoing) -> bool {
+    async fn deliver(&mut self, outgoing: &OutgoingMessage) -> bool {
         let Some(connection) = self.connection(outgoing).await else {
             return false;
         };
-        let sent = send(&connection, &outgoing.message).await.is_some();
+        let sent = write_message(&connection, &outgoing.message).await.is_some();
         if !sent {
             self.connection = None;
         }
         sent
     }
 
-    async fn connection(&mut self, outgoing: &Outgoing) -> Option<Connection> {
+    async fn connection(&mut self, outgoing: &OutgoingMessage) -> Option<Connection> {
         if let Some(connection) = &self.connection
             && connection.close_reason().is_none()
             && connection.remote_address() == outgoing.address
         {
             return Some(connection.clone());
         }
-        // A port of its own, so that nothing on the way takes it for the old connection.
+        // Each connection has its own local port, so that no network device takes it for the previous one.
         let mut endpoint = Endpoint::client(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0))).ok()?;
-        endpoint.set_default_client_config(self.peers.client());
+        endpoint.set_default_client_config(self.peers.client_config());
         let connecting = endpoint.connect(outgoing.address, &outgoing.name).ok()?;
-        let connection = tokio::time::timeout(CONNECT, connecting).await.ok()?.ok()?;
+        let connection = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
         self.connection = Some(connection.clone());
         Some(connection)
     }
 }
 
-async fn send(connection: &Connection, message: &Message) -> Option<()> {
+async fn write_message(connection: &Connection, message: &Message) -> Option<()> {
     let mut stream = connection.open_uni().await.ok()?;
     stream.write_all(&encode(message)).await.ok()?;
     stream.finish().ok()
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,9 +1,9 @@
-//! Watches of the platform: the configuration and the list of instances. Read only.
+//! Watches the configuration and the list of instances at the platform. Read only.
 //!
-//! A watch waits at the service for up to [`WAIT`], so 380 instances with two watches each make under 200
-//! calls a second of the 2,000 that the service takes. After a failure each instance waits a random time that
-//! doubles up to [`BACKOFF_MAX`], so that the return of the service after an outage is met by a spread of
-//! calls and not by all instances at once.
+//! A watch is a long poll of up to [`LONG_POLL_WAIT`]. 380 instances with two watches each therefore make
+//! fewer than 200 calls a second, of the 2,000 that the service supports. After a failure each instance waits
+//! for a random backoff, which doubles up to [`MAX_BACKOFF`]: when the service is available again after an
+//! outage, the calls are spread over time instead of arriving from all instances at once.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -17,24 +17,27 @@
 
 use crate::control::Control;
 
-/// How long a watch waits; well under the tenure that a fresh list gives to homes of idempotency keys.
-const WAIT: Duration = Duration::from_secs(4);
-/// How long a call may take over its wait.
-const SLACK: Duration = Duration::from_secs(2);
-/// Shortest time between two calls, also when a replica answers at once with what is known already.
-const PACE: Duration = Duration::from_millis(200);
-/// First and longest wait after a failure.
-const BACKOFF: Duration = Duration::from_millis(250);
-const BACKOFF_MAX: Duration = Duration::from_secs(5);
+/// Longest wait of a long poll; well below the grant lease that a fresh list gives to the homes of
+/// idempotency keys.
+const LONG_POLL_WAIT: Duration = Duration::from_secs(4);
+/// Time that a call may take in addition to the wait of its long poll.
+const CALL_MARGIN: Duration = Duration::from_secs(2);
+/// Shortest time between two calls. It also holds if a replica answers immediately with a document that the
+/// instance has already.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(200);
+/// Base of the backoff after a failure, which doubles with each failure.
+const BASE_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What is watched.
+/// A document of the platform that is watched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Document {
     Configuration,
     Instances,
 }
 
-/// Watches one document for as long as the process runs.
+/// Watches one document until the process exits.
 pub(crate) struct Watcher {
     pub(crate) document: Document,
     pub(crate) addresses: Vec<SocketAddr>,
@@ -43,7 +46,7 @@
     pub(crate) log: Logger,
 }
 
-/// A call that brought nothing.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("{0}")]
@@ -62,10 +65,10 @@
             match self.call(address).await {
                 Ok(()) => {
                     failures = 0;
-                    tokio::time::sleep(PACE).await;
+                    tokio::time::sleep(MIN_CALL_INTERVAL).await;
                 }
                 Err(error) => {
-                    // One line at the start of an outage, not one for each call.
+                    // One log line at the start of an outage instead of one for each call.
                     if failures == 0 {
                         warn!(self.log, "the platform cannot be read"; "document" => ?self.document, "error" => %error);
                     }
@@ -83,12 +86,12 @@
         };
         let after = after.load(Ordering::Acquire);
         let read_started = self.control.clock.now();
-        let url = format!("http://{address}{path}?after={after}&wait_ms={}", WAIT.as_millis());
-        let response = self.client.get(url).timeout(WAIT + SLACK).send().await?;
+        let url = format!("http://{address}{path}?after={after}&wait_ms={}", LONG_POLL_WAIT.as_millis());
+        let response = self.client.get(url).timeout(LONG_POLL_WAIT + CALL_MARGIN).send().await?;
         match response.status() {
             StatusCode::OK => {
                 let text = response.text().await?;
-                self.take(&text, read_started)?;
+                self.handle_document(&text, read_started)?;
             }
             StatusCode::NO_CONTENT if self.document == Document::Instances => {
                 self.control.send(Event::ListUnchanged { revision: after, read_started });
@@ -99,7 +102,7 @@
         Ok(())
     }
 
-    fn take(&self, text: &str, read_started: std::time::Instant) -> Result<(), WatchError> {
+    fn handle_document(&self, text: &str, read_started: std::time::Instant) -> Result<(), WatchError> {
         let source = Source::Platform;
         match self.document {
             Document::Configuration => self
@@ -115,6 +118,6 @@
 }
 
 fn backoff(failures: u32) -> Duration {
-    let longest = (BACKOFF * 2_u32.pow(failures.min(6))).min(BACKOFF_MAX);
+    let longest = (BASE_BACKOFF * 2_u32.pow(failures.min(6))).min(MAX_BACKOFF);
     longest.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -1,4 +1,7 @@
-//! The supervisor: starts the parts of the daemon, restarts those that may be, and ends the process.
+//! The supervisor: starts the daemon's tasks, restarts those that are restartable, and ends the process.
+//!
+//! A task that owns a resource which cannot be acquired twice (a listener, a queue) is not restartable. If
+//! such a task panics, the process exits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,41 +14,41 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-use crate::audit::{Trail, now_ms};
-use crate::callers::{self, Front};
-use crate::control::{self, Chore, Control, Parts};
+use crate::audit::{AuditTrail, now_ms};
+use crate::callers::{self, CallerApi};
+use crate::control::{self, Action, Control, Dependencies};
 use crate::engines::Engines;
 use crate::metrics::Metrics;
-use crate::operators::{self, Desk};
+use crate::operators::{self, OperatorApi};
 use crate::peers::{PeerError, Peers};
 use crate::platform::{Document, Watcher};
 use crate::{bootstrap, logs};
 
-/// Wait before a part that ended is started again.
-const RESTART: Duration = Duration::from_millis(200);
+/// Delay before a task that ended is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 /// Why an instance cannot start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: std::net::SocketAddr,
-        /// Why.
+        /// Cause.
         error: std::io::Error,
     },
-    /// The peers' listener or keys cannot be used.
+    /// The listener for peers cannot be bound, or its keys are invalid.
     #[error("peers: {0}")]
     Peers(String),
-    /// The operating system gives no thread, timer or signal.
+    /// The operating system cannot create a thread, a timer or a signal handler.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The HTTP client cannot be made.
+    /// The HTTP client cannot be created.
     #[error("HTTP client: {0}")]
     Client(#[from] reqwest::Error),
-    /// The metrics cannot be made.
+    /// The metrics cannot be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
@@ -56,10 +59,10 @@
     }
 }
 
-/// Runs an instance until a planned stop is complete.
+/// Runs an instance until its graceful shutdown is complete.
 ///
 /// # Errors
-/// It cannot start.
+/// The instance cannot start.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.limits.threads)
@@ -73,44 +76,44 @@
     let log = logs::start(&settings.instance);
     let callers_listener = listen(settings.listen.callers).await?;
     let operators_listener = listen(settings.listen.operators).await?;
-    let trail = Arc::new(Trail::new(&settings.instance));
+    let trail = Arc::new(AuditTrail::new(&settings.instance));
     let engines = Engines::new()?;
     let metrics = Arc::new(Metrics::new()?);
-    let (chores, chore_queue) = mpsc::unbounded_channel();
-    let control = start_control(&settings, Arc::clone(&trail), chores, log.clone())?;
+    let (actions, action_queue) = mpsc::unbounded_channel();
+    let control = start_control(&settings, Arc::clone(&trail), actions, log.clone())?;
     let peers = Peers::bind(settings.listen.peers, &settings.keys, control.clone(), log.clone())?;
 
-    let children = Children { log: log.clone() };
-    children.start("chores", perform_chores(chore_queue, engines.clone(), control.clone(), peers.clone()));
-    children.start("peers", peers.clone().accept());
-    children.start("keys", peers.clone().renew_keys(settings.keys.clone()));
-    children.start("seeds", bootstrap::run(settings.clone(), peers.clone(), control.clone()));
+    let tasks = Tasks { log: log.clone() };
+    tasks.spawn("chores", perform_actions(action_queue, engines.clone(), control.clone(), peers.clone()));
+    tasks.spawn("peers", peers.clone().accept());
+    tasks.spawn("keys", peers.clone().reload_keys(settings.keys.clone()));
+    tasks.spawn("seeds", bootstrap::run(settings.clone(), peers.clone(), control.clone()));
     for document in [Document::Configuration, Document::Instances] {
         let (addresses, control, log) = (settings.platform.clone(), control.clone(), log.clone());
         let client = engines.client().clone();
-        children.keep("platform", move || {
+        tasks.spawn_restartable("platform", move || {
             let (addresses, client) = (addresses.clone(), client.clone());
             let (control, log) = (control.clone(), log.clone());
             Watcher { document, addresses, client, control, log }.run()
         });
     }
-    let desk = Desk {
+    let operator_api = OperatorApi {
         instance: settings.instance.clone(),
         domain: settings.domain.clone(),
         control: control.clone(),
         metrics: Arc::clone(&metrics),
         trail,
     };
-    children.start("operators", async move {
-        let _ = operators::serve(operators_listener, desk).await;
+    tasks.spawn("operators", async move {
+        let _ = operators::serve(operators_listener, operator_api).await;
     });
-    let front = Front::new(control.clone(), engines, settings.limits.clone(), metrics);
-    let callers = tokio::spawn(callers::serve(callers_listener, front));
+    let caller_api = CallerApi::new(control.clone(), engines, settings.limits.clone(), metrics);
+    let callers = tokio::spawn(callers::serve(callers_listener, caller_api));
     info!(log, "started"; "callers" => %settings.listen.callers, "operators" => %settings.listen.operators,
         "peers" => %settings.listen.peers);
 
-    planned_stop(&control, Duration::from_millis(settings.limits.drain_ms), &log).await?;
-    // The listener closes once the core has stopped, and lets answers that are on their way end.
+    graceful_shutdown(&control, Duration::from_millis(settings.limits.drain_ms), &log).await?;
+    // The callers' listener closes when the core has stopped, and lets responses in progress finish.
     let _ = callers.await;
     info!(log, "stopped");
     Ok(())
@@ -118,8 +121,8 @@
 
 fn start_control(
     settings: &Settings,
-    trail: Arc<Trail>,
-    chores: mpsc::UnboundedSender<Chore>,
+    trail: Arc<AuditTrail>,
+    actions: mpsc::UnboundedSender<Action>,
     log: Logger,
 ) -> std::io::Result<Control> {
     let identity = Identity {
@@ -127,19 +130,24 @@
         domain: settings.domain.clone(),
         deployment: settings.deployment.clone(),
         address: settings.listen.peers,
-        // After the listeners: a former start has ended by then, and has granted no key later than this.
+        // Read after the listeners are bound: the previous incarnation has ended by then, so that it has
+        // granted no idempotency key after this time.
         incarnation: now_ms(),
     };
     let seed = rand::rng().random();
-    control::start(Parts { identity, seed, clock: Arc::new(SystemClock), trail, chores, log })
+    control::start(Dependencies { identity, seed, clock: Arc::new(SystemClock), trail, actions, log })
 }
 
 async fn listen(address: std::net::SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).await.map_err(|error| StartError::Listen { address, error })
 }
 
-/// Waits for a signal or an operator's drain, then for the core to have finished every request.
-async fn planned_stop(control: &Control, longest: Duration, log: &Logger) -> Result<(), StartError> {
+/// Waits for a signal or an operator's drain, then until the core has finished every request.
+async fn graceful_shutdown(
+    control: &Control,
+    drain_timeout: Duration,
+    log: &Logger,
+) -> Result<(), StartError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -149,67 +157,69 @@
     }
     info!(log, "stopping");
     control.send(Event::Stop);
-    if tokio::time::timeout(longest, control.stopped()).await.is_err() {
-        warn!(log, "requests are still in progress after the longest stop; they are cut off");
+    if tokio::time::timeout(drain_timeout, control.stopped()).await.is_err() {
+        warn!(log, "the drain timeout passed with requests in progress");
     }
     Ok(())
 }
 
-/// Starts parts of the daemon and says so when one ends.
-struct Children {
+/// Starts the daemon's tasks and logs their failures.
+struct Tasks {
     log: Logger,
 }
 
-impl Children {
-    /// Starts a part that owns what it cannot get twice. Its end is the end of the process: a daemon that
-    /// lost its way to peers or engines would go on answering with refusals that no operator understands.
-    fn start(&self, name: &'static str, part: impl Future<Output = ()> + Send + 'static) {
+impl Tasks {
+    /// Starts a task that is not restartable. If the task panics, the process exits: a daemon without its
+    /// connections to peers or engines would continue to answer with refusals whose cause operators cannot
+    /// see.
+    fn spawn(&self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         let log = self.log.clone();
-        let task = tokio::spawn(part);
+        let handle = tokio::spawn(task);
         tokio::spawn(async move {
-            if let Err(failure) = task.await {
+            if let Err(failure) = handle.await {
                 error!(log, "a part ended"; "part" => name, "failure" => %failure);
                 std::process::exit(1);
             }
         });
     }
 
-    /// Starts a part that can be started again, and does so whenever it ends.
-    fn keep<F, P>(&self, name: &'static str, part: F)
+    /// Starts a restartable task, and restarts it whenever it ends.
+    fn spawn_restartable<F, T>(&self, name: &'static str, task: F)
     where
-        F: Fn() -> P + Send + 'static,
-        P: Future<Output = ()> + Send + 'static,
+        F: Fn() -> T + Send + 'static,
+        T: Future<Output = ()> + Send + 'static,
     {
         let log = self.log.clone();
         tokio::spawn(async move {
             loop {
-                if let Err(failure) = tokio::spawn(part()).await {
-                    warn!(log, "a part ended and is started again"; "part" => name, "failure" => %failure);
+                if let Err(failure) = tokio::spawn(task()).await {
+                    warn!(log, "a part ended and is restarted"; "part" => name, "failure" => %failure);
                 }
-                tokio::time::sleep(RESTART).await;
+                tokio::time::sleep(RESTART_DELAY).await;
             }
         });
     }
 }
 
-/// Does what the core asks of the process, each chore in a task of its own.
-async fn perform_chores(
-    mut chores: mpsc::UnboundedReceiver<Chore>,
+/// Performs the actions that the core requests. Cancels and polls run in a task each, so that a slow engine
+/// delays no other action.
+async fn perform_actions(
+    mut actions: mpsc::UnboundedReceiver<Action>,
     engines: Engines,
     control: Control,
     peers: Peers,
 ) {
-    while let Some(chore) = chores.recv().await {
-        match chore {
-            Chore::Send { to, name, address, message } => peers.send(to, name, address, message),
-            Chore::Cancel { attempt, target } => {
+    while let Some(action) = actions.recv().await {
+        match action {
+            Action::Send { to, name, address, message } => peers.send(to, name, address, message),
+            Action::Cancel { attempt, target } => {
                 let (engines, control) = (engines.clone(), control.clone());
                 tokio::spawn(async move {
                     let confirmed = engines.cancel(target.address, attempt).await;
                     control.send(Event::Cancelled { attempt, endpoint: target.id, confirmed });
                 });
             }
-            Chore::Poll { target } => {
+            Action::Poll { target } => {
                 let (engines, control) = (engines.clone(), control.clone());
                 tokio::spawn(async move {
                     let event = match engines.load(target.address).await {
--- a/crates/daemon/src/tls.rs
+++ b/crates/daemon/src/tls.rs
@@ -1,7 +1,7 @@
-//! Keys between instances: mutual TLS with the fleet's own authority.
+//! Mutual TLS between instances, with the fleet's own certificate authority.
 //!
-//! An instance's certificate carries its name. Whoever connects must show a certificate of the authority, and
-//! is taken for the instance that the certificate names, whatever its address.
+//! The certificate of an instance holds the instance's name. A connecting peer must present a certificate of
+//! the authority. The peer is identified by the name in its certificate, regardless of its address.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,20 +14,21 @@
 use teaselshunt_core::InstanceId;
 use teaselshunt_settings::Keys;
 
-/// A connection without any sign of life for this long is given up. Heartbeats come every second, so a
-/// connection that something on the way has lost track of is replaced after three of them.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Protocol name, so that only peers of this protocol version understand each other.
-const PROTOCOL: &[u8] = b"teaselshunt/2";
-/// Messages of one peer in flight at once.
-const STREAMS: u32 = 256;
+/// Time without any packet from the peer after which a connection is closed. Heartbeats are sent every
+/// second, so a connection whose state a network device has lost is replaced after three of them.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Application protocol of the handshake (ALPN). Only peers of the same protocol version connect to each
+/// other.
+const ALPN_PROTOCOL: &[u8] = b"teaselshunt/2";
+/// Messages in flight at once on one connection of a peer.
+const MAX_CONCURRENT_STREAMS: u32 = 256;
 
-/// Keys that cannot be used.
+/// Why keys cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum KeyError {
     #[error("{path}: {error}")]
     File { path: String, error: rustls::pki_types::pem::Error },
-    #[error("keys do not fit: {0}")]
+    #[error("invalid keys: {0}")]
     Tls(#[from] rustls::Error),
     #[error("authority: {0}")]
     Authority(#[from] rustls::server::VerifierBuilderError),
@@ -35,13 +36,13 @@
     Suites(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
 }
 
-/// TLS set up for both directions.
+/// TLS configurations for both directions of a connection.
 pub(crate) struct Tls {
     pub(crate) client: quinn::ClientConfig,
     pub(crate) server: quinn::ServerConfig,
 }
 
-/// Reads the key files.
+/// Reads the key files and builds the TLS configurations.
 pub(crate) fn load(keys: &Keys) -> Result<Tls, KeyError> {
     let mut roots = RootCertStore::empty();
     for authority in certificates(&keys.authority)? {
@@ -56,13 +57,13 @@
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_root_certificates(Arc::clone(&roots))
         .with_client_auth_cert(chain.clone(), private.clone_key())?;
-    client.alpn_protocols = vec![PROTOCOL.to_vec()];
+    client.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     let verifier = WebPkiClientVerifier::builder_with_provider(roots, Arc::clone(&provider)).build()?;
     let mut server = ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, private)?;
-    server.alpn_protocols = vec![PROTOCOL.to_vec()];
+    server.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     let transport = Arc::new(transport());
     let mut client = quinn::ClientConfig::new(Arc::new(QuicClientConfig::try_from(client)?));
     client.transport_config(Arc::clone(&transport));
@@ -73,8 +74,8 @@
 
 fn transport() -> quinn::TransportConfig {
     let mut transport = quinn::TransportConfig::default();
-    transport.max_idle_timeout(Some(SILENCE.try_into().expect("a few seconds fit a QUIC idle timeout")));
-    transport.max_concurrent_uni_streams(STREAMS.into());
+    transport.max_idle_timeout(Some(IDLE_TIMEOUT.try_into().expect("a few seconds fit a QUIC idle timeout")));
+    transport.max_concurrent_uni_streams(MAX_CONCURRENT_STREAMS.into());
     transport.max_concurrent_bidi_streams(0_u32.into());
     transport
 }
@@ -85,7 +86,7 @@
 }
 
 /// The instance that a connection's certificate names.
-pub(crate) fn peer(connection: &quinn::Connection) -> Option<InstanceId> {
+pub(crate) fn peer_instance(connection: &quinn::Connection) -> Option<InstanceId> {
     let identity = connection.peer_identity()?.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     let certificate = webpki::EndEntityCert::try_from(identity.first()?).ok()?;
     let name = certificate.valid_dns_names().next()?;
