--- a/crates/daemon/tests/all/input.rs
+++ b/crates/daemon/tests/all/input.rs
@@ -1,4 +1,5 @@
-//! Bad input: a clear refusal or a closed connection, and nothing else disturbed.
+//! Invalid input: the instance refuses it with an error code or closes the connection, and other callers are
+//! not affected.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -9,14 +10,14 @@
 
 use crate::support::{Fleet, until};
 
-/// Resident memory that an instance may take whatever callers do.
-const MEMORY: u64 = 256 << 20;
+/// Resident memory that an instance may use, regardless of its callers.
+const MAX_MEMORY_BYTES: u64 = 256 << 20;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_requests_get_a_clear_refusal() {
+async fn invalid_requests_are_refused_with_an_error_code() {
     let mut fleet = Fleet::start(1).await;
     fleet.adjust(0, |s| s["limits"] = json!({ "body": 4096 }));
-    let daemon = fleet.daemon(0).await;
+    let daemon = fleet.start_daemon(0).await;
     let url = format!("http://{}/v1/completions", daemon.callers);
     let cases = [
         ("{", 400, "invalid_request"),
@@ -38,22 +39,22 @@
     }
     let large = fleet.client.post(&url).body("x".repeat(5000)).send().await.unwrap();
     assert_eq!(large.status(), 413);
-    let late = fleet.completion(&daemon, "x", false).header("x-teaselshunt-deadline-ms", "soon");
-    assert_eq!(late.send().await.unwrap().status(), 400);
-    let nowhere =
+    let invalid_deadline = fleet.completion(&daemon, "x", false).header("x-teaselshunt-deadline-ms", "soon");
+    assert_eq!(invalid_deadline.send().await.unwrap().status(), 400);
+    let unknown_service =
         fleet.client.get(format!("http://{}/services/none/x", daemon.callers)).send().await.unwrap();
-    assert_eq!(nowhere.status(), 404);
+    assert_eq!(unknown_service.status(), 404);
     let text = fleet.completion(&daemon, "Still here?", false).send().await.unwrap().text().await.unwrap();
     assert!(text.contains(answer("Still here?", 400).trim_end()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_a_request_is_closed_and_ten_thousand_idle_connections_disturb_nobody() {
+async fn incomplete_requests_time_out_and_idle_connections_are_bounded() {
     let mut fleet = Fleet::start(1).await;
     fleet.adjust(0, |s| s["limits"] = json!({ "receive_ms": 300, "idle_ms": 60_000, "connections": 9_000 }));
-    let daemon = fleet.daemon(0).await;
+    let daemon = fleet.start_daemon(0).await;
     let address = daemon.callers;
-    let half = tokio::task::spawn_blocking(move || {
+    let incomplete = tokio::task::spawn_blocking(move || {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_mins(1))).unwrap();
         stream.write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{").unwrap();
@@ -61,14 +62,14 @@
         stream.read_to_string(&mut reply).unwrap();
         reply
     });
-    let reply = half.await.unwrap();
+    let reply = incomplete.await.unwrap();
     assert!(reply.starts_with("HTTP/1.1 408"), "{reply}");
 
     let idle: Vec<TcpStream> = (0..9_500).filter_map(|_| TcpStream::connect(address).ok()).collect();
     assert!(idle.len() >= 9_000, "{}", idle.len());
-    assert!(daemon.memory() < MEMORY, "{} bytes", daemon.memory());
+    assert!(daemon.memory() < MAX_MEMORY_BYTES, "{} bytes", daemon.memory());
     drop(idle);
-    until("the places of idle connections are free again", || async {
+    until("the permits of idle connections are released", || async {
         let response = fleet.completion(&daemon, "Still here?", false).send().await;
         response.is_ok_and(|r| r.status().is_success())
     })
@@ -76,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_settings_are_refused_with_every_mistake() {
+async fn invalid_settings_are_refused_with_all_errors() {
     let directory = tempfile::TempDir::new().unwrap();
     let path = directory.path().join("settings.json");
     let text = json!({ "instance": "", "domain": "d", "deployment": 3, "listen": {}, "colour": "red" });
--- a/crates/daemon/tests/all/keys.rs
+++ b/crates/daemon/tests/all/keys.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated: at most once, and honest about it.
+//! Non-idempotent calls: each call runs at most once, and a refusal states truthfully whether the call may
+//! have run.
 
 use serde_json::Value;
 use teaselshunt_standin::ServiceFaults;
@@ -9,59 +10,63 @@
     uuid::Uuid::now_v7().to_string()
 }
 
-/// The service runs a booking and then the connection breaks. Whether it ran cannot be told, so the caller
-/// hears "unknown", and the router does not send it again: a second booking would send a truck for nothing.
+/// Guards against a second execution. The service runs a booking, and then the connection breaks. The router
+/// cannot know whether the booking ran. The caller gets the outcome "unknown", and the router does not send
+/// the booking again: a second booking would send a truck for nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_booking_is_unknown_and_not_sent_again() {
     let fleet = Fleet::start(1).await;
-    let daemon = fleet.daemon(0).await;
+    let daemon = fleet.start_daemon(0).await;
     fleet.service.set_faults(ServiceFaults { drop: true, ..ServiceFaults::default() });
     let response = fleet.booking(&daemon, "broken").send().await.unwrap();
     assert_eq!(response.status(), 502);
     assert_eq!(response.headers()["x-teaselshunt-outcome"], "unknown");
     assert_eq!(response.headers()["x-should-retry"], "false");
-    assert_eq!(fleet.ran("broken"), 1);
+    assert_eq!(fleet.executions("broken"), 1);
 }
 
-/// The same call as an idempotent GET is sent again, and the caller gets its answer.
+/// The address of a service has no listener. A booking cannot be sent and is refused as not run, with a
+/// `Retry-After` delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_out_of_reach_means_not_run() {
     let mut fleet = Fleet::start(1).await;
-    // Port 9 on loopback: nobody listens.
+    // Port 9 on loopback has no listener.
     fleet.patch(|c| c["endpoints"][4]["address"] = "127.0.0.1:9".into());
-    let daemon = fleet.daemon(0).await;
-    until("the address is in force", || async { fleet.status(&daemon).await["version"] == 2 }).await;
+    let daemon = fleet.start_daemon(0).await;
+    until("the address is active", || async { fleet.status(&daemon).await["version"] == 2 }).await;
     let response = fleet.booking(&daemon, "unsent").send().await.unwrap();
     assert_eq!(response.status(), 503);
     assert_eq!(response.headers()["x-teaselshunt-outcome"], "not-run");
     assert!(response.headers().contains_key("retry-after"));
-    assert_eq!(fleet.ran("unsent"), 0);
+    assert_eq!(fleet.executions("unsent"), 0);
 }
 
-/// A caller sends a keyed booking through one instance and again through the others. It runs once, and every
-/// retry gets the first one's answer. Word of the outcome travels to the key's home beside the answer to the caller: a
-/// retry that is quicker hears that the key is in use, and when to come back, and then gets that answer.
+/// A caller sends a booking with an idempotency key through one instance and again through the others. The
+/// booking runs once, and every retry gets the response of the first request. The outcome is sent to the
+/// key's home while the response is sent to the caller: a retry that arrives earlier is refused because the
+/// key is in use, with a `Retry-After` delay, and gets the response later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_booking_runs_once_through_any_instance() {
     let fleet = Fleet::start(3).await;
-    let daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[0]).await;
+    let daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[0]).await;
     for n in 0..5 {
         let (key, body) = (key(), format!("booking {n}"));
         let mut numbers = Vec::new();
         for daemon in &daemons {
-            numbers.push(settled(&fleet, daemon, &body, &key).await);
+            numbers.push(retry_until_answered(&fleet, daemon, &body, &key).await);
         }
         assert!(numbers.iter().all(|n| *n == numbers[0]), "{numbers:?}");
-        assert_eq!(fleet.ran(&body), 1);
+        assert_eq!(fleet.executions(&body), 1);
     }
 }
 
-/// The number of a keyed booking's answer, from a caller that comes back as it is told to: while its key is in use, and
-/// while the key's home is silent for longer than an asker waits, which a busy machine makes any instance for a moment.
-/// `a_caller_refused_for_a_silent_home_gets_its_answer_later` brings the second about. Both refusals must be honest, and
-/// nothing else but the answer may end the coming back.
-async fn settled(fleet: &Fleet, daemon: &Daemon, body: &str, key: &str) -> Value {
+/// Retries a booking with an idempotency key until it is answered, and returns the booking's number. The
+/// caller retries while the key is in use, and while the key's home does not answer for longer than an
+/// instance waits, which happens to any instance for a moment on a busy machine.
+/// `a_caller_refused_for_a_silent_home_gets_its_answer_later` causes the second case. Both refusals must
+/// state the outcome "unknown", and no other response than the booking's may end the retries.
+async fn retry_until_answered(fleet: &Fleet, daemon: &Daemon, body: &str, key: &str) -> Value {
     for _ in 0..600 {
         let response = fleet.booking(daemon, body).header("Idempotency-Key", key).send().await.unwrap();
         let status = response.status();
@@ -78,16 +83,17 @@
         assert_eq!(status, 200, "{reply}");
         return reply["number"].clone();
     }
-    panic!("{body}: no answer after 600 returns");
+    panic!("{body}: no response after 600 attempts");
 }
 
-/// Two instances get the same keyed booking at the same time, while the service is slow. One runs it; the
-/// other hears that the key is in use, or gets the kept answer.
+/// Guards against a double execution by concurrent requests. Two instances receive the same booking with one
+/// idempotency key at the same time, while the service is slow. One of them runs the booking. The other
+/// refuses because the key is in use, or returns the stored response.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_tries_at_once_run_once() {
+async fn two_concurrent_requests_run_once() {
     let fleet = Fleet::start(2).await;
-    let daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[0]).await;
+    let daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[0]).await;
     fleet.service.set_faults(ServiceFaults { slow_ms: 200, ..ServiceFaults::default() });
     for n in 0..5 {
         let (key, body) = (key(), format!("race {n}"));
@@ -96,19 +102,21 @@
         let mut statuses = [a.unwrap().status().as_u16(), b.unwrap().status().as_u16()];
         statuses.sort_unstable();
         assert!(statuses == [200, 200] || statuses == [200, 409], "{statuses:?}");
-        assert_eq!(fleet.ran(&body), 1);
+        assert_eq!(fleet.executions(&body), 1);
     }
 }
 
-/// An instance takes a keyed booking and is killed while the service works on it. The caller retries through
-/// a survivor. The booking ran, but nobody left knows; the survivors must not run it again.
+/// Guards against a second execution after a crash. An instance sends a booking with an idempotency key and
+/// is killed while the service works on the booking. The caller retries through the surviving instances. The
+/// booking ran, but no surviving instance has a record of the outcome, so none of them may run the booking
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_after_a_kill_does_not_run_again() {
     let fleet = Fleet::start(3).await;
-    let mut daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[0]).await;
+    let mut daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[0]).await;
     fleet.service.set_faults(ServiceFaults { hang: true, ..ServiceFaults::default() });
-    let (key, waiting) = running(&fleet, &daemons[0], "killed").await;
+    let (key, waiting) = send_until_running(&fleet, &daemons[0], "killed").await;
     drop(daemons.remove(0));
     assert!(waiting.await.unwrap().is_err());
     fleet.service.set_faults(ServiceFaults::default());
@@ -116,16 +124,17 @@
         let retry = fleet.booking(daemon, "killed").header("Idempotency-Key", &key).send().await.unwrap();
         assert_eq!(retry.headers()["x-teaselshunt-outcome"], "unknown", "{}", retry.status());
     }
-    assert_eq!(fleet.ran("killed"), 1);
+    assert_eq!(fleet.executions("killed"), 1);
 }
 
-/// Two of three instances are frozen, as a busy machine freezes them for a moment. A booking whose key has its home at one of
-/// them gets no grant in time: it is refused, the refusal says that the key's fate is not known, and the booking has not run.
+/// Two of three instances are frozen, as a busy machine freezes them for a moment. A booking whose key has
+/// its home at one of them gets no grant in time. The booking is refused with the error that the key's
+/// outcome is unknown, and has not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_home_is_silent_is_refused_before_it_runs() {
     let fleet = Fleet::start(3).await;
-    let daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[0]).await;
+    let daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[0]).await;
     for daemon in &daemons[1..] {
         daemon.signal("STOP");
     }
@@ -139,20 +148,22 @@
         }
         let reply: Value = response.json().await.unwrap();
         assert_eq!(reply["error"]["code"], "key_unknown", "{reply}");
-        assert_eq!(fleet.ran(&body), 0);
+        assert_eq!(fleet.executions(&body), 0);
         refused += 1;
     }
     assert!(refused > 0, "no key has its home at a frozen instance");
 }
 
-/// The homes of some keys are frozen for longer than an asker waits, and wake again. A caller whose booking was refused
-/// meanwhile comes back with the same key. The claim of its first try lies in the home's socket and is granted only now,
-/// to nobody: it must not keep the key from the caller, nor run the booking a second time beside the new try.
+/// Guards against grants to requests that have ended. The homes of some keys are frozen for longer than an
+/// instance waits for a grant, and then resume. A caller whose booking was refused meanwhile retries with the
+/// same key. The claim of the first request is still in the home's socket and is granted only now, after that
+/// request has ended. This grant must neither keep the key from the caller nor run the booking a second time
+/// beside the retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_refused_for_a_silent_home_gets_its_answer_later() {
     let fleet = Fleet::start(3).await;
-    let daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[0]).await;
+    let daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[0]).await;
     for daemon in &daemons[1..] {
         daemon.signal("STOP");
     }
@@ -173,38 +184,39 @@
     }
     assert!(!refused.is_empty(), "no key has its home at a frozen instance");
     for (key, body) in &refused {
-        let first = settled(&fleet, &daemons[0], body, key).await;
+        let first = retry_until_answered(&fleet, &daemons[0], body, key).await;
         for daemon in &daemons {
-            assert_eq!(settled(&fleet, daemon, body, key).await, first);
+            assert_eq!(retry_until_answered(&fleet, daemon, body, key).await, first);
         }
-        assert_eq!(fleet.ran(body), 1);
+        assert_eq!(fleet.executions(body), 1);
     }
 }
 
-/// An instance is killed and started again at once. Keys that callers make after that and whose home it is were "unknown" for
-/// the whole horizon, though nobody had run them: each caller must get its answer.
+/// An instance is killed and restarted immediately. Its keys that callers created after the restart used to
+/// be "unknown" for the whole horizon, although no instance had run them. Each caller must get its response.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_made_after_a_start_are_answered() {
     let fleet = Fleet::start(3).await;
-    let mut daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[0]).await;
+    let mut daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[0]).await;
     drop(daemons.pop());
-    let again = fleet.daemon(2).await;
+    let restarted = fleet.start_daemon(2).await;
     // Longer than `policy.skew_ms`, by which a caller's clock may be ahead.
     tokio::time::sleep(std::time::Duration::from_millis(150)).await;
     for n in 0..12 {
         let (key, body) = (key(), format!("after a start {n}"));
-        settled(&fleet, &daemons[n % 2], &body, &key).await;
-        assert_eq!(fleet.ran(&body), 1);
+        retry_until_answered(&fleet, &daemons[n % 2], &body, &key).await;
+        assert_eq!(fleet.executions(&body), 1);
     }
-    drop(again);
+    drop(restarted);
 }
 
-/// Sends a keyed booking until the service runs it; gives its key and the request, which is still waiting.
+/// Sends bookings until the service runs one. Returns the idempotency key and the request, which still waits
+/// for its response.
 ///
-/// An instance that could not reach a key's home in time refuses, and the booking has not run; the caller tries again
-/// with another key. Any other early answer is a fault.
-async fn running(
+/// An instance that cannot reach a key's home in time refuses the booking, which has then not run, and the
+/// caller sends another one with a new key. Any other early response is a fault.
+async fn send_until_running(
     fleet: &Fleet,
     daemon: &Daemon,
     body: &str,
@@ -213,11 +225,11 @@
         let key = key();
         let request = fleet.booking(daemon, body).header("Idempotency-Key", &key);
         let waiting = tokio::spawn(async move { request.send().await });
-        until("the service has run it, or it was refused", || async {
-            fleet.ran(body) == 1 || waiting.is_finished()
+        until("the service has run the booking, or the booking was refused", || async {
+            fleet.executions(body) == 1 || waiting.is_finished()
         })
         .await;
-        if fleet.ran(body) == 1 {
+        if fleet.executions(body) == 1 {
             return (key, waiting);
         }
         let reply = waiting.await.unwrap().unwrap();
@@ -227,16 +239,17 @@
     }
 }
 
-/// An instance is frozen, and the list drops it meanwhile. Keys whose home it was move on. When it wakes it
-/// still believes in the old list; a caller that reaches it must not get a grant that its new home also gave.
+/// Guards against two homes that grant one key. An instance is frozen, and a new list without the instance is
+/// published. Its keys get new homes. When the instance resumes running it still uses the old list. A caller
+/// that reaches it must not get a grant for a key that the new home has granted as well.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_home_that_slept_does_not_grant_what_others_granted() {
+async fn a_home_that_was_frozen_grants_no_key_of_another_home() {
     let mut fleet = Fleet::start(3).await;
-    let daemons = fleet.daemons().await;
-    fleet.grants_keys(&daemons[1]).await;
+    let daemons = fleet.start_daemons().await;
+    fleet.wait_until_keys_granted(&daemons[1]).await;
     daemons[0].signal("STOP");
     fleet.publish_list(|i| i != 0);
-    fleet.grants_keys(&daemons[1]).await;
+    fleet.wait_until_keys_granted(&daemons[1]).await;
     let mut granted = Vec::new();
     for n in 0..12 {
         let (key, body) = (key(), format!("slept {n}"));
@@ -248,7 +261,7 @@
     daemons[0].signal("CONT");
     for (key, body) in &granted {
         let _ = fleet.booking(&daemons[0], body).header("Idempotency-Key", key).send().await;
-        assert_eq!(fleet.ran(body), 1);
+        assert_eq!(fleet.executions(body), 1);
     }
     assert!(!granted.is_empty());
 }
--- a/crates/daemon/tests/all/main.rs
+++ b/crates/daemon/tests/all/main.rs
@@ -1,9 +1,10 @@
-//! The daemon as separate processes, with stand-ins of everything around it inside the test process.
+//! Tests of daemons in separate processes, with stand-ins of engines, services and the platform in the test
+//! process.
 //!
-//! Tests wait on conditions, never on elapsed time; [`support::until`] bounds every wait so that a fault ends
-//! in a failure and not in a hang.
+//! Tests wait for conditions instead of fixed times. [`support::until`] bounds every wait, so that a fault
+//! results in a failed test and not in a hang.
 
-#![expect(clippy::unwrap_used, reason = "a test that cannot go on says so by a panic")]
+#![expect(clippy::unwrap_used, reason = "a test that cannot continue panics")]
 
 mod configuration;
 mod input;
--- a/crates/daemon/tests/all/path.rs
+++ b/crates/daemon/tests/all/path.rs
@@ -1,14 +1,14 @@
-//! One request from its caller to its answer, through separate processes.
+//! Single requests from the caller to the response, through separate processes.
 
 use serde_json::{Value, json};
 use teaselshunt_standin::answer;
 
-use crate::support::{Fleet, streamed};
+use crate::support::{Fleet, streamed_text};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn completions_are_exact_whole_and_streamed() {
+async fn completions_are_exact_with_and_without_streaming() {
     let fleet = Fleet::start(2).await;
-    for daemon in &fleet.daemons().await {
+    for daemon in &fleet.start_daemons().await {
         let prompt = "Movement log, Newman, 14 landings.";
         let response = fleet.completion(daemon, prompt, false).send().await.unwrap();
         let id = response.headers()["x-request-id"].to_str().unwrap().to_owned();
@@ -18,15 +18,15 @@
         assert_eq!(reply["id"], id);
 
         let response = fleet.completion(daemon, prompt, true).send().await.unwrap();
-        assert_eq!(streamed(response).await, Some(answer(prompt, 400)));
+        assert_eq!(streamed_text(response).await, Some(answer(prompt, 400)));
     }
-    assert_eq!(fleet.held(), Vec::<String>::new());
+    assert_eq!(fleet.held_requests(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_completions_and_models_speak_as_openai_clients_expect() {
+async fn chat_completions_and_models_follow_the_openai_api() {
     let fleet = Fleet::start(1).await;
-    let daemon = fleet.daemon(0).await;
+    let daemon = fleet.start_daemon(0).await;
     let url = format!("http://{}/v1", daemon.callers);
     let models: Value = fleet.client.get(format!("{url}/models")).send().await.unwrap().json().await.unwrap();
     assert_eq!(models["data"][0]["id"], "long");
@@ -53,19 +53,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_gets_the_call_and_its_caller_the_answer() {
+async fn a_service_call_is_passed_on_and_its_response_returned() {
     let fleet = Fleet::start(1).await;
-    let daemon = fleet.daemon(0).await;
+    let daemon = fleet.start_daemon(0).await;
     let url = format!("http://{}/services/bookings/a/b?c=d", daemon.callers);
     let reply: Value = fleet.client.put(url).body("machine 12").send().await.unwrap().json().await.unwrap();
     assert_eq!(reply["call"], json!({ "method": "PUT", "path": "/a/b?c=d", "body": "machine 12" }));
-    assert_eq!(fleet.ran("machine 12"), 1);
+    assert_eq!(fleet.executions("machine 12"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_and_status_are_on_the_operators_listener_only() {
     let fleet = Fleet::start(1).await;
-    let daemon = fleet.daemon(0).await;
+    let daemon = fleet.start_daemon(0).await;
     fleet.completion(&daemon, "Tariff?", false).send().await.unwrap();
     let text = async |address, path| {
         fleet.client.get(format!("http://{address}{path}")).send().await.unwrap().text().await.unwrap()
--- a/crates/daemon/tests/all/peers.rs
+++ b/crates/daemon/tests/all/peers.rs
@@ -1,4 +1,4 @@
-//! Who may speak as a peer.
+//! Authentication of peers.
 
 use serde_json::Value;
 use teaselshunt_ctl::generate_keys;
@@ -10,35 +10,38 @@
     status["members"][0]["health"].as_str().unwrap_or_default().to_owned()
 }
 
-/// A process has the name and the address of an instance of the list, but a certificate of another authority. It
-/// beats and answers like a peer. Were it believed, it could grant keys and publish configurations; the instance
-/// must hold it for dead, though its packets arrive.
+/// Guards against peers without a valid certificate. A process has the name and the address of a listed
+/// instance, but a certificate of another authority. It sends heartbeats and answers like a peer. If its
+/// messages were accepted, it could grant idempotency keys and publish configurations. The instance must
+/// treat it as dead although its packets arrive.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stranger_with_a_listed_name_is_not_believed() {
     let mut fleet = Fleet::start(2).await;
-    let elsewhere = tempfile::TempDir::new().unwrap();
-    generate_keys(elsewhere.path(), &["entry-1".to_owned()]).unwrap();
+    let other_authority = tempfile::TempDir::new().unwrap();
+    generate_keys(other_authority.path(), &["entry-1".to_owned()]).unwrap();
     fleet.adjust(1, |s| {
-        s["keys"]["authority"] = elsewhere.path().join("authority.pem").to_string_lossy().into();
-        s["keys"]["certificate"] = elsewhere.path().join("entry-1.pem").to_string_lossy().into();
-        s["keys"]["private"] = elsewhere.path().join("entry-1.key").to_string_lossy().into();
+        s["keys"]["authority"] = other_authority.path().join("authority.pem").to_string_lossy().into();
+        s["keys"]["certificate"] = other_authority.path().join("entry-1.pem").to_string_lossy().into();
+        s["keys"]["private"] = other_authority.path().join("entry-1.key").to_string_lossy().into();
     });
-    let daemons = fleet.daemons().await;
+    let daemons = fleet.start_daemons().await;
     for daemon in &daemons {
-        until("the stranger is held for dead", || async { health(&fleet, daemon).await == "dead" }).await;
+        until("the unauthenticated peer counts as dead", || async { health(&fleet, daemon).await == "dead" })
+            .await;
     }
 }
 
-/// New keys are written over the old ones while instances run. They are taken without a stop, and an instance that
-/// starts with only the new ones finds the other.
+/// New keys replace the old key files while an instance runs. The instance applies them without a restart,
+/// and an instance that starts with only the new keys connects to it.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_are_renewed_without_a_stop() {
     let fleet = Fleet::start(2).await;
-    let first = fleet.daemon(0).await;
-    fleet.renew_keys();
+    let first = fleet.start_daemon(0).await;
+    fleet.replace_keys();
     until("the new keys are in use", || async { fleet.log(0).contains("new keys are in use") }).await;
-    let second = fleet.daemon(1).await;
+    let second = fleet.start_daemon(1).await;
     for daemon in [&first, &second] {
-        until("they know each other", || async { health(&fleet, daemon).await == "alive" }).await;
+        until("both instances are alive to each other", || async { health(&fleet, daemon).await == "alive" })
+            .await;
     }
 }
--- a/crates/daemon/tests/all/support.rs
+++ b/crates/daemon/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Starting a small deployment: stand-ins in this process, instances as processes of their own.
+//! A small deployment for tests: stand-ins in the test process, instances as separate processes.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::path::Path;
@@ -13,8 +13,9 @@
 use teaselshunt_standin::{Engine, EngineOptions, Platform, Service};
 use tempfile::TempDir;
 
-/// Longest wait for a condition; long, because a busy machine is no fault of the program.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Longest wait for a condition. The wait is long, because a test must not fail only because the machine is
+/// busy.
+const CONDITION_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Waits until a condition holds.
 pub(crate) async fn until<F, R>(what: &str, mut condition: F)
@@ -24,12 +25,12 @@
 {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(start.elapsed() < CONDITION_TIMEOUT, "waited in vain until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Stand-ins, and the settings of the instances before them.
+/// A deployment: stand-ins, and the settings of the instances in front of them.
 pub(crate) struct Fleet {
     pub(crate) platform: Platform,
     pub(crate) prefill: Vec<Engine>,
@@ -38,7 +39,8 @@
     pub(crate) configuration: Value,
     pub(crate) client: Client,
     names: Vec<String>,
-    listed: Vec<Value>,
+    /// Entries of the instances for the platform's list.
+    list_entries: Vec<Value>,
     settings: Vec<Value>,
     revision: u64,
     directory: TempDir,
@@ -55,10 +57,11 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Ports given to instances. They lie below the range that the system takes local ports of connections from:
-/// a port that was free a moment ago could otherwise be taken by one of thousands of test connections before
-/// the instance binds it.
-static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
+/// Offset of the next port for an instance in [`PORTS`].
+static NEXT_PORT_OFFSET: AtomicU16 = AtomicU16::new(0);
+/// Ports for instances. The range is below the range of the system's ephemeral ports: otherwise one of
+/// thousands of test connections could take a port between the check that the port is free and the bind of
+/// the instance.
 const PORTS: std::ops::Range<u16> = 10_000..32_000;
 
 /// A port that is free for TCP and UDP.
@@ -66,7 +69,7 @@
     let start = (std::process::id() % 200) as u16 * 100;
     loop {
         let offset =
-            start.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed)) % (PORTS.end - PORTS.start);
+            start.wrapping_add(NEXT_PORT_OFFSET.fetch_add(1, Ordering::Relaxed)) % (PORTS.end - PORTS.start);
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, PORTS.start + offset));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return address;
@@ -75,13 +78,14 @@
 }
 
 impl Fleet {
-    /// Two prefill and two decode engines, one service, and settings for `instances` instances, none of which
-    /// is started yet.
+    /// Starts two prefill engines, two decode engines, one service and the platform, and prepares the
+    /// settings of `instances` instances. No instance is started yet.
     pub(crate) async fn start(instances: usize) -> Self {
-        Self::with(instances, EngineOptions::quick(Role::Decode)).await
+        Self::start_with(instances, EngineOptions::quick(Role::Decode)).await
     }
 
-    pub(crate) async fn with(instances: usize, decode_options: EngineOptions) -> Self {
+    /// Like [`Fleet::start`], with options for the decode engines.
+    pub(crate) async fn start_with(instances: usize, decode_options: EngineOptions) -> Self {
         let mut prefill = Vec::new();
         let mut decode = Vec::new();
         for _ in 0..2 {
@@ -96,7 +100,7 @@
         generate_keys(directory.path(), &names).unwrap();
         let settings: Vec<Value> =
             names.iter().map(|n| settings(n, platform.address(), directory.path())).collect();
-        let listed = settings.iter().map(entry).collect();
+        let list_entries = settings.iter().map(list_entry).collect();
         let client = Client::builder().no_proxy().pool_max_idle_per_host(0).build().unwrap();
         let mut fleet = Self {
             platform,
@@ -106,7 +110,7 @@
             configuration,
             client,
             names,
-            listed,
+            list_entries,
             settings,
             revision: 0,
             directory,
@@ -115,15 +119,15 @@
         fleet
     }
 
-    /// Publishes a list with the instances that `keep` keeps, by their number.
+    /// Publishes a list of the instances for whose index `keep` returns `true`.
     pub(crate) fn publish_list(&mut self, keep: impl Fn(usize) -> bool) {
         self.revision += 1;
-        let kept = self.listed.iter().enumerate().filter(|(i, _)| keep(*i)).map(|(_, e)| e.clone());
-        let list = json!({ "revision": self.revision, "instances": kept.collect::<Vec<_>>() });
+        let entries = self.list_entries.iter().enumerate().filter(|(i, _)| keep(*i)).map(|(_, e)| e.clone());
+        let list = json!({ "revision": self.revision, "instances": entries.collect::<Vec<_>>() });
         self.platform.publish_instances(self.revision, &list.to_string());
     }
 
-    /// Changes the configuration, and publishes it under the next number.
+    /// Changes the configuration and publishes it as the next version. Returns the version.
     pub(crate) fn patch(&mut self, change: impl FnOnce(&mut Value)) -> u64 {
         change(&mut self.configuration);
         let version = self.configuration["version"].as_u64().unwrap() + 1;
@@ -137,20 +141,20 @@
         change(&mut self.settings[index]);
     }
 
-    /// Makes a new authority and new keys for every instance, over the old files.
-    pub(crate) fn renew_keys(&self) {
+    /// Replaces the key files by a new authority and new keys for every instance.
+    pub(crate) fn replace_keys(&self) {
         std::fs::remove_file(self.directory.path().join("authority.key")).unwrap();
         generate_keys(self.directory.path(), &self.names).unwrap();
     }
 
-    /// What an instance has logged.
+    /// Log of an instance.
     pub(crate) fn log(&self, index: usize) -> String {
         let path = self.directory.path().join(format!("{}.log", self.names[index]));
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Names a peer that an instance asks when it cannot read the platform.
-    pub(crate) fn seed(&mut self, index: usize, peer: usize) {
+    /// Sets the peer that an instance queries when it cannot reach the platform.
+    pub(crate) fn set_seed(&mut self, index: usize, peer: usize) {
         let seed = json!([{ "name": self.names[peer], "address": self.settings[peer]["listen"]["peers"] }]);
         self.settings[index]["seeds"] = seed;
     }
@@ -173,8 +177,8 @@
         Daemon { child, callers: address("callers"), operators: address("operators") }
     }
 
-    /// Starts an instance and waits until it is ready and sees every endpoint answer.
-    pub(crate) async fn daemon(&self, index: usize) -> Daemon {
+    /// Starts an instance and waits until it is ready.
+    pub(crate) async fn start_daemon(&self, index: usize) -> Daemon {
         let daemon = self.launch(index);
         until("the instance is ready", || async {
             let ready = self.client.get(format!("http://{}/ready", daemon.operators)).send().await;
@@ -184,10 +188,11 @@
         daemon
     }
 
-    pub(crate) async fn daemons(&self) -> Vec<Daemon> {
+    /// Starts all instances, one after the other.
+    pub(crate) async fn start_daemons(&self) -> Vec<Daemon> {
         let mut daemons = Vec::new();
         for index in 0..self.names.len() {
-            daemons.push(self.daemon(index).await);
+            daemons.push(self.start_daemon(index).await);
         }
         daemons
     }
@@ -197,21 +202,22 @@
         self.client.get(url).send().await.unwrap().json().await.unwrap()
     }
 
-    /// A completion through an instance, not sent yet.
+    /// Builds the request for a completion through an instance.
     pub(crate) fn completion(&self, daemon: &Daemon, prompt: &str, stream: bool) -> RequestBuilder {
         let body = json!({ "model": "long", "prompt": prompt, "max_tokens": 400, "stream": stream });
         self.client.post(format!("http://{}/v1/completions", daemon.callers)).json(&body)
     }
 
-    /// A booking through an instance, not sent yet.
+    /// Builds the request for a booking through an instance.
     pub(crate) fn booking(&self, daemon: &Daemon, body: &str) -> RequestBuilder {
         let url = format!("http://{}/services/bookings/new", daemon.callers);
         self.client.post(url).body(body.to_owned())
     }
 
-    /// Waits until every home grants keys: members heard, tenure and skew past. Each probe has a home of its
-    /// own, so a dozen in a row reach all of them.
-    pub(crate) async fn grants_keys(&self, daemon: &Daemon) {
+    /// Waits until every home grants keys: the homes have heard from the other members, and the grant lease
+    /// and the clock skew after the start have passed. The homes of the probes are random, so that a dozen
+    /// successful probes in a row reach all of them.
+    pub(crate) async fn wait_until_keys_granted(&self, daemon: &Daemon) {
         until("every home grants keys", || async {
             for _ in 0..12 {
                 let key = uuid::Uuid::now_v7().to_string();
@@ -225,13 +231,13 @@
         .await;
     }
 
-    /// Bookings that ran with this body.
-    pub(crate) fn ran(&self, body: &str) -> usize {
+    /// Number of executions of bookings with this body.
+    pub(crate) fn executions(&self, body: &str) -> usize {
         self.service.executions().iter().filter(|e| e.body == body).count()
     }
 
-    /// Ids that any engine holds memory for.
-    pub(crate) fn held(&self) -> Vec<String> {
+    /// Ids of the requests that engines hold memory for.
+    pub(crate) fn held_requests(&self) -> Vec<String> {
         self.prefill.iter().chain(&self.decode).flat_map(Engine::held).collect()
     }
 }
@@ -242,14 +248,14 @@
         assert!(status.unwrap().success());
     }
 
-    /// Waits for the end of the process.
-    pub(crate) async fn end(&mut self) -> ExitStatus {
+    /// Waits until the process exits.
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(start.elapsed() < PATIENCE, "the instance does not end");
+            assert!(start.elapsed() < CONDITION_TIMEOUT, "the instance did not exit");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -269,8 +275,8 @@
     }
 }
 
-/// The text of a streamed completion, if it came to its end mark.
-pub(crate) async fn streamed(response: Response) -> Option<String> {
+/// Text of a streamed completion; `None` if the stream ended without its end mark.
+pub(crate) async fn streamed_text(response: Response) -> Option<String> {
     let body = response.text().await.ok()?;
     let mut text = String::new();
     let mut done = false;
@@ -298,7 +304,7 @@
     })
 }
 
-fn entry(settings: &Value) -> Value {
+fn list_entry(settings: &Value) -> Value {
     json!({
         "name": settings["instance"], "domain": settings["domain"],
         "peers": settings["listen"]["peers"], "leaving": false,
