--- a/crates/bench/src/commands/chaos.rs
+++ b/crates/bench/src/commands/chaos.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct Sums {
     steps: AtomicU64,
-    happenings: AtomicU64,
+    sim_events: AtomicU64,
     violations: AtomicU64,
 }
 
@@ -38,7 +38,7 @@
         "{} plans, {} events taken in by instances, {} happenings, {violations} plans with violations",
         arguments.cases,
         sums.steps.load(Ordering::Relaxed),
-        sums.happenings.load(Ordering::Relaxed),
+        sums.sim_events.load(Ordering::Relaxed),
     );
     if violations == 0 { Ok(()) } else { Err(CommandError::Violations(violations as usize)) }
 }
@@ -48,7 +48,7 @@
     let plan = Plan::arbitrary(&mut gen_);
     let tally = plan.run();
     sums.steps.fetch_add(tally.steps, Ordering::Relaxed);
-    sums.happenings.fetch_add(tally.happenings, Ordering::Relaxed);
+    sums.sim_events.fetch_add(tally.sim_events, Ordering::Relaxed);
     if tally.violations.is_empty() {
         return;
     }
--- a/crates/bench/src/commands/policy.rs
+++ b/crates/bench/src/commands/policy.rs
@@ -1,7 +1,7 @@
 //! `policy`: goodput and waste under one load, ours against plain policies and a bound.
 
 use gumdrop::Options;
-use teaselshunt_bench::{Deployment, Experiment, Outcome, Policy, Trouble, britasol, pindan};
+use teaselshunt_bench::{Deployment, Experiment, Outcome, Policy, Scenario, britasol, pindan};
 
 use super::CommandError;
 use super::plot::plot;
@@ -31,12 +31,12 @@
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), CommandError> {
     let deployment = named(&arguments.deployment)?;
-    let trouble = arguments.fault.as_deref().map(str::parse).transpose();
-    let trouble: Option<Trouble> = trouble.map_err(CommandError::Usage)?;
+    let scenario = arguments.fault.as_deref().map(str::parse).transpose();
+    let scenario: Option<Scenario> = scenario.map_err(CommandError::Usage)?;
     if !(0.01..=10.0).contains(&arguments.load) {
         return Err(CommandError::Usage(format!("load {}; allowed: 0.01 to 10", arguments.load)));
     }
-    let at = |load, seed| Experiment { deployment: deployment.clone(), load, seed, trouble };
+    let at = |load, seed| Experiment { deployment: deployment.clone(), load, seed, scenario };
     if let Some(file) = &arguments.report {
         let curves = Policy::ALL
             .map(|policy| (policy, LOADS.map(|load| at(load, arguments.seed).run(policy)).to_vec()));
--- a/crates/bench/src/commands/quotas.rs
+++ b/crates/bench/src/commands/quotas.rs
@@ -39,30 +39,30 @@
         rows.lock().expect("no thread panics with the lock").push((seed, plan, outcomes));
     });
     let mut rows = rows.into_inner().expect("no thread panics with the lock");
-    rows.sort_by(|a, b| b.2[1].fullest.total_cmp(&a.2[1].fullest));
+    rows.sort_by(|a, b| b.2[1].max_window_fill.total_cmp(&a.2[1].max_window_fill));
     println!("way     plans  over the bound  fullest window  asked below limit and refused  bytes/s a peer");
     for (index, way) in WAYS.iter().enumerate() {
         print_way(*way, &rows, index);
     }
     for (seed, plan, outcomes) in rows.iter().take(arguments.worst) {
-        println!("seed {seed}: fullest {:.3}: {}", outcomes[1].fullest, serde_json::json!(plan));
+        println!("seed {seed}: fullest {:.3}: {}", outcomes[1].max_window_fill, serde_json::json!(plan));
     }
-    let over = rows.iter().filter(|row| row.2[1].is_over()).count();
+    let over = rows.iter().filter(|row| row.2[1].exceeds_bound()).count();
     if over == 0 { Ok(()) } else { Err(CommandError::Violations(over)) }
 }
 
 fn print_way(way: QuotaMode, rows: &[Row], index: usize) {
     let outcomes = || rows.iter().map(|row| (&row.1, &row.2[index]));
-    let over = outcomes().filter(|(_, outcome)| outcome.is_over()).count();
-    let fullest = outcomes().map(|(_, outcome)| outcome.fullest).fold(0.0, f64::max);
+    let over = outcomes().filter(|(_, outcome)| outcome.exceeds_bound()).count();
+    let max_window_fill = outcomes().map(|(_, outcome)| outcome.max_window_fill).fold(0.0, f64::max);
     // Teams that ask less than their limit, while nothing else is wrong.
-    let below = outcomes().filter(|(plan, _)| plan.demand < 10 && plan.troubles.is_empty());
-    let (mut asked, mut refused) = (0.0, 0.0);
+    let below = outcomes().filter(|(plan, _)| plan.demand < 10 && plan.faults.is_empty());
+    let (mut offered, mut refused) = (0.0, 0.0);
     for (_, outcome) in below {
-        asked += outcome.asked;
-        refused += outcome.asked - outcome.admitted;
+        offered += outcome.offered;
+        refused += outcome.offered - outcome.admitted;
     }
     let bytes: f64 = outcomes().map(|(_, outcome)| outcome.bytes).sum::<f64>() / rows.len().max(1) as f64;
-    let (plans, part) = (rows.len(), refused / f64::max(asked, 1.0));
-    println!("{:7} {plans:5} {over:15} {fullest:15.3} {part:30.4} {bytes:15.0}", format!("{way:?}"));
+    let (plans, part) = (rows.len(), refused / f64::max(offered, 1.0));
+    println!("{:7} {plans:5} {over:15} {max_window_fill:15.3} {part:30.4} {bytes:15.0}", format!("{way:?}"));
 }
--- a/crates/bench/src/commands/rates.rs
+++ b/crates/bench/src/commands/rates.rs
@@ -53,15 +53,15 @@
         rows.lock().expect("no thread panics with the lock").push((seed, plan, outcomes));
     });
     let mut rows = rows.into_inner().expect("no thread panics with the lock");
-    rows.sort_by(|a, b| b.2[STANDS].fullest.total_cmp(&a.2[STANDS].fullest));
+    rows.sort_by(|a, b| b.2[STANDS].max_window_fill.total_cmp(&a.2[STANDS].max_window_fill));
     println!("way           plans   over  fullest window  used above  refused below  entries/s a peer");
     for (index, pacing) in WAYS.iter().enumerate() {
         print_way(*pacing, &rows, index);
     }
     for (seed, plan, outcomes) in rows.iter().take(arguments.worst) {
-        println!("seed {seed}: fullest {:.3}: {}", outcomes[STANDS].fullest, serde_json::json!(plan));
+        println!("seed {seed}: fullest {:.3}: {}", outcomes[STANDS].max_window_fill, serde_json::json!(plan));
     }
-    let over = rows.iter().filter(|row| row.2[STANDS].is_over()).count();
+    let over = rows.iter().filter(|row| row.2[STANDS].exceeds_bound()).count();
     if over == 0 { Ok(()) } else { Err(CommandError::Violations(over)) }
 }
 
@@ -69,7 +69,7 @@
     let mut plan = RatePlan::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed));
     if let Some(instances) = arguments.instances {
         plan.domains = (0..4).map(|domain| (instances + domain) / 4).collect();
-        plan.troubles.clear();
+        plan.faults.clear();
     }
     plan.endpoints = arguments.endpoints.unwrap_or(plan.endpoints);
     plan.rate = arguments.rate.unwrap_or(plan.rate);
@@ -80,16 +80,16 @@
 /// What is used where callers ask for more than endpoints take, and refused where they ask for less, with nothing wrong.
 fn print_way(pacing: Pacing, rows: &[Row], index: usize) {
     let outcomes = || rows.iter().map(|row| (&row.1, &row.2[index]));
-    let over = outcomes().filter(|(_, outcome)| outcome.is_over()).count();
-    let fullest = outcomes().map(|(_, outcome)| outcome.fullest).fold(0.0, f64::max);
-    let calm = || outcomes().filter(|(plan, _)| plan.troubles.is_empty() && plan.rate > 0);
+    let over = outcomes().filter(|(_, outcome)| outcome.exceeds_bound()).count();
+    let max_window_fill = outcomes().map(|(_, outcome)| outcome.max_window_fill).fold(0.0, f64::max);
+    let calm = || outcomes().filter(|(plan, _)| plan.faults.is_empty() && plan.rate > 0);
     let above = calm().filter(|(plan, _)| plan.demand > 10);
-    let (sent, takes) = above.fold((0.0, 0.0), |(s, t), (_, o)| (s + o.sent, t + o.takes));
+    let (sent, capacity) = above.fold((0.0, 0.0), |(s, t), (_, o)| (s + o.sent, t + o.capacity));
     let below = calm().filter(|(plan, _)| plan.demand < 10);
-    let (served, asked) = below.fold((0.0, 0.0), |(s, a), (_, o)| (s + o.sent, a + o.asked));
+    let (served, offered) = below.fold((0.0, 0.0), |(s, a), (_, o)| (s + o.sent, a + o.offered));
     let entries: f64 = outcomes().map(|(_, outcome)| outcome.entries).sum::<f64>() / rows.len().max(1) as f64;
     let (plans, used, refused) =
-        (rows.len(), sent / f64::max(takes, 1.0), 1.0 - served / f64::max(asked, 1.0));
+        (rows.len(), sent / f64::max(capacity, 1.0), 1.0 - served / f64::max(offered, 1.0));
     let way = format!("{pacing:?}");
-    println!("{way:13} {plans:5} {over:6} {fullest:15.3} {used:11.3} {refused:14.4} {entries:17.2}");
+    println!("{way:13} {plans:5} {over:6} {max_window_fill:15.3} {used:11.3} {refused:14.4} {entries:17.2}");
 }
--- a/crates/bench/src/commands/slopes.rs
+++ b/crates/bench/src/commands/slopes.rs
@@ -1,7 +1,7 @@
 //! `slopes`: costs at three sizes and more, for docs/CAPACITY.md.
 
 use gumdrop::Options;
-use teaselshunt_bench::{decision, gossip};
+use teaselshunt_bench::{measure_control, measure_decision};
 
 /// Endpoints of today's larger user, of a middle size, and of the size in two years.
 const ENDPOINTS: [usize; 4] = [22, 156, 390, 780];
@@ -18,7 +18,7 @@
 
 pub(crate) fn run(arguments: &Arguments) {
     for endpoints in ENDPOINTS {
-        let d = decision(endpoints);
+        let d = measure_decision(endpoints);
         if arguments.json {
             println!("{}", serde_json::to_string(&d).expect("figures are JSON"));
         } else {
@@ -29,7 +29,7 @@
         }
     }
     for (instances, endpoints) in FLEETS {
-        let g = gossip(instances, endpoints);
+        let g = measure_control(instances, endpoints);
         if arguments.json {
             println!("{}", serde_json::to_string(&g).expect("figures are JSON"));
         } else {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -16,11 +16,11 @@
 mod world;
 
 pub use plan::Plan;
-pub use policy::{ClassOutcome, Experiment, Outcome, Policy, Trouble};
-pub use quotas::{Mishap, QuotaOutcome, QuotaPlan, Trouble as QuotaTrouble};
+pub use policy::{ClassOutcome, Experiment, Outcome, Policy, Scenario};
+pub use quotas::{FaultKind, QuotaOutcome, QuotaPlan, TimedFault};
 pub use rates::{RateOutcome, RatePlan};
-pub use slopes::{Decision, Gossip, decision, gossip};
+pub use slopes::{ControlCost, DecisionCost, measure_control, measure_decision};
 pub use world::{
-    Asked, ClassTally, Deployment, EngineSpeed, Fault, Load, Options, Side, Tally, World, britasol, pindan,
-    scaled,
+    ClassTally, Deployment, EngineSpeed, Fault, Load, Options, RequestSpec, Side, Tally, World, britasol,
+    pindan, scaled,
 };
--- a/crates/bench/src/plan.rs
+++ b/crates/bench/src/plan.rs
@@ -29,12 +29,19 @@
     pub fn run(&self) -> Tally {
         let deployment = self.deployment();
         let mut world = World::new(deployment, Options { seed: self.seed, ..Options::default() });
-        world.load(Load { long: 6.0, quick: 4.0, calls: 4.0, impatient: 0.15, from: START, until: LENGTH });
+        world.schedule_load(Load {
+            long: 6.0,
+            quick: 4.0,
+            calls: 4.0,
+            abandon_fraction: 0.15,
+            from: START,
+            until: LENGTH,
+        });
         for &(at, fault) in &self.faults {
             world.schedule(Duration::from_millis(u64::from(at)), fault);
         }
-        world.run(LENGTH);
-        world.settle();
+        world.run_until(LENGTH);
+        world.settle_and_check();
         world.tally().clone()
     }
 
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -57,7 +57,7 @@
 /// What goes wrong in the middle of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
+pub enum Scenario {
     /// An instance is killed and comes back.
     Kill,
     /// An instance stands still.
@@ -74,7 +74,7 @@
     Move,
 }
 
-impl std::str::FromStr for Trouble {
+impl std::str::FromStr for Scenario {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -101,7 +101,7 @@
     /// Seed of everything random.
     pub seed: u64,
     /// What goes wrong.
-    pub trouble: Option<Trouble>,
+    pub scenario: Option<Scenario>,
 }
 
 /// What came of it under one policy.
@@ -158,16 +158,16 @@
         if policy == Policy::Omniscient {
             deployment.instances.truncate(1);
         }
-        if self.trouble == Some(Trouble::Lag) {
-            options.lag = Duration::from_secs(3);
+        if self.scenario == Some(Scenario::Lag) {
+            options.report_lag = Duration::from_secs(3);
         }
         let load = self.rates(&options.speed);
         let mut world = World::new(deployment, options);
-        world.load(load);
+        world.schedule_load(load);
         if policy != Policy::Omniscient {
-            self.put_trouble(&mut world);
+            self.schedule_scenario(&mut world);
         }
-        world.run(END);
+        world.run_until(END);
         self.outcome(policy, world.tally())
     }
 
@@ -181,7 +181,7 @@
             let slots = slots.map_or(1, |e| e.slots);
             let step = speed.decode_step(slots).as_secs_f64();
             let decode = count(teaselshunt_settings::Role::Decode) * f64::from(slots) / step / output;
-            let prefill = count(teaselshunt_settings::Role::Prefill) * speed.prefill / prompt;
+            let prefill = count(teaselshunt_settings::Role::Prefill) * speed.prefill_tokens_per_s / prompt;
             decode.min(prefill) * self.load
         };
         let pool = |model: &str| {
@@ -189,31 +189,31 @@
             models.iter().find(|m| m.name == model).map_or("", |m| m.pool.as_str())
         };
         Load {
-            long: rate(pool(self.deployment.long[0]), LONG),
-            quick: rate(pool(self.deployment.quick), QUICK),
+            long: rate(pool(self.deployment.long_models[0]), LONG),
+            quick: rate(pool(self.deployment.quick_model), QUICK),
             calls: 0.0,
-            impatient: 0.0,
+            abandon_fraction: 0.0,
             from: FROM,
             until: UNTIL,
         }
     }
 
-    fn put_trouble(&self, world: &mut World) {
+    fn schedule_scenario(&self, world: &mut World) {
         let mut put = |begin, end| {
             world.schedule(FAULT_FROM, begin);
             world.schedule(FAULT_UNTIL, end);
         };
-        match self.trouble {
-            None | Some(Trouble::Lag) => {}
-            Some(Trouble::Kill) => put(Fault::Kill(1), Fault::Start(1)),
-            Some(Trouble::Freeze) => put(Fault::Freeze(1), Fault::Thaw(1)),
-            Some(Trouble::Outage) => put(Fault::Outage, Fault::OutageEnd),
-            Some(Trouble::Drain) => {
-                let endpoint = world.some_decode();
+        match self.scenario {
+            None | Some(Scenario::Lag) => {}
+            Some(Scenario::Kill) => put(Fault::Kill(1), Fault::Start(1)),
+            Some(Scenario::Freeze) => put(Fault::Freeze(1), Fault::Thaw(1)),
+            Some(Scenario::Outage) => put(Fault::Outage, Fault::OutageEnd),
+            Some(Scenario::Drain) => {
+                let endpoint = world.random_decode_endpoint();
                 world.schedule(FAULT_FROM, Fault::Drain(endpoint));
                 world.schedule(FAULT_UNTIL, Fault::Undrain(endpoint));
             }
-            Some(Trouble::Partition) => {
+            Some(Scenario::Partition) => {
                 let domains = self.deployment.configuration.domains.len();
                 for other in 1..domains {
                     put(
@@ -222,7 +222,7 @@
                     );
                 }
             }
-            Some(Trouble::Move) => {
+            Some(Scenario::Move) => {
                 for (step, share) in [75, 50, 25].into_iter().enumerate() {
                     world.schedule(FAULT_FROM + Duration::from_secs(4) * step as u32, Fault::Share(share));
                 }
@@ -237,8 +237,8 @@
             class: class.clone(),
             offered: c.offered,
             good: c.good,
-            first_ms: [0.5, 0.95, 0.99].map(|q| c.first.value_at_quantile(q)),
-            gap_ms: [0.5, 0.95, 0.99].map(|q| c.gap.value_at_quantile(q) as f64 / 1000.0),
+            first_ms: [0.5, 0.95, 0.99].map(|q| c.first_token_ms.value_at_quantile(q)),
+            gap_ms: [0.5, 0.95, 0.99].map(|q| c.token_gap_us.value_at_quantile(q) as f64 / 1000.0),
         });
         Outcome {
             policy,
@@ -252,7 +252,7 @@
             messages: tally.messages as f64 / each,
             bytes: tally.bytes as f64 / each,
             classes: classes.collect(),
-            recovery: self.trouble.and_then(|_| recovery(tally)),
+            recovery: self.scenario.and_then(|_| recovery(tally)),
             violations: tally.violations.len(),
         }
     }
--- a/crates/bench/src/quotas.rs
+++ b/crates/bench/src/quotas.rs
@@ -35,7 +35,7 @@
 
 /// What happens to whom.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub enum Mishap {
+pub enum FaultKind {
     /// One failure domain is cut off from the others.
     Cut {
         /// Its number.
@@ -55,28 +55,29 @@
 
 /// A mishap and when it lasts, in milliseconds after the callers came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Trouble {
+pub struct TimedFault {
     /// What.
-    pub what: Mishap,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// Its beginning.
     pub at: u32,
     /// How long it lasts.
     pub length: u32,
 }
 
-impl Trouble {
+impl TimedFault {
     /// Up to three at random, in a deployment of so many failure domains.
     pub(crate) fn series(g: &mut Gen, domains: u8) -> Vec<Self> {
-        let trouble = |g: &mut Gen| {
+        let fault = |g: &mut Gen| {
             let eighths = u8::arbitrary(g) % 8 + 1;
-            let what = match u8::arbitrary(g) % 4 {
-                0 | 1 => Mishap::Cut { domain: u8::arbitrary(g) % domains },
-                2 => Mishap::Kill { eighths },
-                _ => Mishap::Freeze { eighths },
+            let kind = match u8::arbitrary(g) % 4 {
+                0 | 1 => FaultKind::Cut { domain: u8::arbitrary(g) % domains },
+                2 => FaultKind::Kill { eighths },
+                _ => FaultKind::Freeze { eighths },
             };
-            Self { what, at: u32::arbitrary(g) % 12_000, length: 500 + u32::arbitrary(g) % 8_000 }
+            Self { kind, at: u32::arbitrary(g) % 12_000, length: 500 + u32::arbitrary(g) % 8_000 }
         };
-        (0..u8::arbitrary(g) % 4).map(|_| trouble(g)).collect()
+        (0..u8::arbitrary(g) % 4).map(|_| fault(g)).collect()
     }
 }
 
@@ -94,48 +95,51 @@
     /// Tellings that are lost, in hundredths.
     pub loss: u8,
     /// What goes wrong.
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<TimedFault>,
 }
 
 /// What a run showed.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct QuotaOutcome {
     /// Units that callers asked for.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub offered: f64,
     /// Units that were admitted.
     pub admitted: f64,
     /// The fullest window, as a part of what limit and tolerance allow in it.
-    pub fullest: f64,
+    #[serde(rename = "fullest")]
+    pub max_window_fill: f64,
     /// Bytes that an instance sends to one peer in a second, about its spending alone.
     pub bytes: f64,
 }
 
 impl QuotaOutcome {
     /// Whether more was admitted in some window than limit and tolerance allow.
-    pub fn is_over(&self) -> bool {
-        self.fullest > 1.0
+    pub fn exceeds_bound(&self) -> bool {
+        self.max_window_fill > 1.0
     }
 }
 
 impl Arbitrary for QuotaPlan {
     fn arbitrary(g: &mut Gen) -> Self {
         let domains = (0..u8::arbitrary(g) % 3 + 2).map(|_| u8::arbitrary(g) % 8 + 1).collect::<Vec<_>>();
-        let troubles = Trouble::series(g, domains.len() as u8);
+        let faults = TimedFault::series(g, domains.len() as u8);
         Self {
             seed: u64::arbitrary(g),
             demand: [5, 9, 20, 50, 90][usize::arbitrary(g) % 5],
             skew: u8::arbitrary(g) % 4,
             loss: u8::arbitrary(g) % 11,
             domains,
-            troubles,
+            faults,
         }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let plan = self.clone();
-        let fewer = (0..plan.troubles.len()).map(move |index| {
+        let fewer = (0..plan.faults.len()).map(move |index| {
             let mut shorter = plan.clone();
-            shorter.troubles.remove(index);
+            shorter.faults.remove(index);
             shorter
         });
         Box::new(fewer)
@@ -233,7 +237,7 @@
             on_way: Vec::new(),
             window: VecDeque::new(),
             outcome: QuotaOutcome::default(),
-            active: vec![false; plan.troubles.len()],
+            active: vec![false; plan.faults.len()],
         }
     }
 
@@ -262,29 +266,29 @@
     /// Begins and ends what goes wrong.
     fn mishaps(&mut self) {
         let plan = self.plan;
-        for (index, trouble) in plan.troubles.iter().enumerate() {
-            let begin = BEGIN + CALM + Duration::from_millis(u64::from(trouble.at));
-            let end = begin + Duration::from_millis(u64::from(trouble.length));
+        for (index, fault) in plan.faults.iter().enumerate() {
+            let begin = BEGIN + CALM + Duration::from_millis(u64::from(fault.at));
+            let end = begin + Duration::from_millis(u64::from(fault.length));
             let active = self.now >= begin && self.now < end;
             if std::mem::replace(&mut self.active[index], active) != active {
-                self.change(trouble.what, active);
+                self.change(fault.kind, active);
             }
         }
     }
 
-    fn change(&mut self, what: Mishap, begins: bool) {
+    fn change(&mut self, kind: FaultKind, begins: bool) {
         let hit = |index: usize, eighths: u8| (index * 5) % 8 < usize::from(eighths);
         for index in 0..self.nodes.len() {
-            match what {
-                Mishap::Freeze { eighths } if hit(index, eighths) => self.nodes[index].frozen = begins,
-                Mishap::Kill { eighths } if hit(index, eighths) => {
+            match kind {
+                FaultKind::Freeze { eighths } if hit(index, eighths) => self.nodes[index].frozen = begins,
+                FaultKind::Kill { eighths } if hit(index, eighths) => {
                     self.nodes[index].down = begins;
                     if !begins {
                         self.restart(index);
                     }
                 }
                 // Cuts are looked up when something is sent.
-                Mishap::Cut { .. } | Mishap::Kill { .. } | Mishap::Freeze { .. } => {}
+                FaultKind::Cut { .. } | FaultKind::Kill { .. } | FaultKind::Freeze { .. } => {}
             }
         }
     }
@@ -300,10 +304,10 @@
     }
 
     fn is_cut(&self, a: u8, b: u8) -> bool {
-        let cuts = self.plan.troubles.iter().zip(&self.active).filter(|(_, active)| **active);
-        cuts.into_iter().any(|(trouble, _)| match trouble.what {
-            Mishap::Cut { domain } => (a == domain) != (b == domain),
-            Mishap::Kill { .. } | Mishap::Freeze { .. } => false,
+        let cuts = self.plan.faults.iter().zip(&self.active).filter(|(_, active)| **active);
+        cuts.into_iter().any(|(fault, _)| match fault.kind {
+            FaultKind::Cut { domain } => (a == domain) != (b == domain),
+            FaultKind::Kill { .. } | FaultKind::Freeze { .. } => false,
         })
     }
 
@@ -372,7 +376,7 @@
             while node.due > 0.0 {
                 let cost = COSTS[self.rng.random_range(0..COSTS.len())];
                 node.due -= cost as f64;
-                self.outcome.asked += cost as f64;
+                self.outcome.offered += cost as f64;
                 if node.quotas.admit(self.now, TEAM, cost).is_ok() {
                     admitted += cost as f64;
                 }
@@ -390,7 +394,7 @@
         let units: f64 = self.window.iter().map(|(_, units)| units).sum();
         let limit = LIMIT.rate * WINDOW.as_secs_f64() + LIMIT.burst;
         let allowed = limit * (1.0 + OVER) + SLACK;
-        self.outcome.fullest = self.outcome.fullest.max(units / allowed);
+        self.outcome.max_window_fill = self.outcome.max_window_fill.max(units / allowed);
     }
 }
 
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -20,7 +20,7 @@
     StepOutcome,
 };
 
-use crate::quotas::{Mishap, Trouble};
+use crate::quotas::{FaultKind, TimedFault};
 
 const SERVICE: &str = "desk";
 /// A span of this length may hold what the rate allows in it, [`OVER`] times, and besides [`SLACK`] requests.
@@ -65,38 +65,42 @@
     /// Tellings that are lost, in hundredths.
     pub loss: u8,
     /// What goes wrong.
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<TimedFault>,
 }
 
 /// What a run showed.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct RateOutcome {
     /// Requests that callers sent once the rates were in force.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub offered: f64,
     /// Those that reached an endpoint.
     pub sent: f64,
     /// What the endpoints took together, in requests.
-    pub takes: f64,
+    #[serde(rename = "takes")]
+    pub capacity: f64,
     /// The fullest window of any endpoint, as a part of what it may hold.
-    pub fullest: f64,
+    #[serde(rename = "fullest")]
+    pub max_window_fill: f64,
     /// Entries about rates that an instance sends to one peer in a second.
     pub entries: f64,
 }
 
 impl RateOutcome {
     /// Whether an endpoint got more in some window than it may.
-    pub fn is_over(&self) -> bool {
-        self.fullest > 1.0
+    pub fn exceeds_bound(&self) -> bool {
+        self.max_window_fill > 1.0
     }
 
     /// The part of what the endpoints take that was used.
-    pub fn used(&self) -> f64 {
-        self.sent / self.takes.max(1.0)
+    pub fn utilization(&self) -> f64 {
+        self.sent / self.capacity.max(1.0)
     }
 
     /// The part of the requests that was refused.
-    pub fn refused(&self) -> f64 {
-        1.0 - self.sent / self.asked.max(1.0)
+    pub fn refused_fraction(&self) -> f64 {
+        1.0 - self.sent / self.offered.max(1.0)
     }
 }
 
@@ -105,7 +109,7 @@
         let largest = [4, 4, 8, 8, 20, 100][usize::arbitrary(g) % 6];
         let count = usize::arbitrary(g) % 3 + 2;
         let domains: Vec<_> = (0..count).map(|_| u16::arbitrary(g) % largest + 1).collect();
-        let troubles = Trouble::series(g, domains.len() as u8);
+        let faults = TimedFault::series(g, domains.len() as u8);
         Self {
             seed: u64::arbitrary(g),
             endpoints: [1, 2, 4, 6, 20][usize::arbitrary(g) % 5],
@@ -114,15 +118,15 @@
             skew: u8::arbitrary(g) % 4,
             loss: u8::arbitrary(g) % 11,
             domains,
-            troubles,
+            faults,
         }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let plan = self.clone();
-        let fewer = (0..plan.troubles.len()).map(move |index| {
+        let fewer = (0..plan.faults.len()).map(move |index| {
             let mut shorter = plan.clone();
-            shorter.troubles.remove(index);
+            shorter.faults.remove(index);
             shorter
         });
         Box::new(fewer)
@@ -273,7 +277,7 @@
             answers: VecDeque::new(),
             windows: vec![VecDeque::new(); count],
             outcome: RateOutcome::default(),
-            active: vec![false; plan.troubles.len()],
+            active: vec![false; plan.faults.len()],
         }
     }
 
@@ -291,36 +295,36 @@
             self.callers(index);
         }
         if self.now >= self.begun + CALM + STABLE {
-            let takes = self.plan.rate() * f64::from(self.plan.endpoints);
-            self.outcome.takes += takes * STEP.as_secs_f64();
+            let capacity = self.plan.rate() * f64::from(self.plan.endpoints);
+            self.outcome.capacity += capacity * STEP.as_secs_f64();
         }
     }
 
     /// Begins and ends what goes wrong.
     fn mishaps(&mut self) {
         let plan = self.plan;
-        for (index, trouble) in plan.troubles.iter().enumerate() {
-            let begin = self.begun + CALM + Duration::from_millis(u64::from(trouble.at));
-            let end = begin + Duration::from_millis(u64::from(trouble.length));
+        for (index, fault) in plan.faults.iter().enumerate() {
+            let begin = self.begun + CALM + Duration::from_millis(u64::from(fault.at));
+            let end = begin + Duration::from_millis(u64::from(fault.length));
             let active = self.now >= begin && self.now < end;
             let changed = std::mem::replace(&mut self.active[index], active) != active;
             for number in 0..self.nodes.len() {
-                if is_hit(trouble.what, number, self.nodes[number].domain) && (active || changed) {
+                if is_hit(fault.kind, number, self.nodes[number].domain) && (active || changed) {
                     self.nodes[number].excused = self.now + STABLE;
                     if changed {
-                        self.change(number, trouble.what, active);
+                        self.change(number, fault.kind, active);
                     }
                 }
             }
         }
     }
 
-    fn change(&mut self, number: usize, what: Mishap, begins: bool) {
+    fn change(&mut self, number: usize, kind: FaultKind, begins: bool) {
         let life = self.rng.random();
         let node = &mut self.nodes[number];
-        match what {
-            Mishap::Freeze { .. } => node.frozen = begins,
-            Mishap::Kill { .. } => {
+        match kind {
+            FaultKind::Freeze { .. } => node.frozen = begins,
+            FaultKind::Kill { .. } => {
                 node.down = begins;
                 node.life = life;
                 node.heard.clear();
@@ -328,15 +332,15 @@
                 node.open(self.plan, self.pacing);
             }
             // Cuts are looked up when something is sent.
-            Mishap::Cut { .. } => {}
+            FaultKind::Cut { .. } => {}
         }
     }
 
     fn is_cut(&self, a: u8, b: u8) -> bool {
-        let active = self.plan.troubles.iter().zip(&self.active).filter(|(_, active)| **active);
-        active.into_iter().any(|(trouble, _)| match trouble.what {
-            Mishap::Cut { domain } => (a == domain) != (b == domain),
-            Mishap::Kill { .. } | Mishap::Freeze { .. } => false,
+        let active = self.plan.faults.iter().zip(&self.active).filter(|(_, active)| **active);
+        active.into_iter().any(|(fault, _)| match fault.kind {
+            FaultKind::Cut { domain } => (a == domain) != (b == domain),
+            FaultKind::Kill { .. } | FaultKind::Freeze { .. } => false,
         })
     }
 
@@ -413,7 +417,7 @@
         }
         while node.due >= 1.0 {
             node.due -= 1.0;
-            self.outcome.asked += f64::from(u8::from(in_force));
+            self.outcome.offered += f64::from(u8::from(in_force));
             let Some(key) = node.endpoints.choose(now, Need::of(SERVICE, "all"), &mut self.rng) else {
                 continue;
             };
@@ -432,7 +436,7 @@
             window.push_back(now);
             while window.pop_front_if(|at| *at + WINDOW <= now).is_some() {}
             let allowed = self.plan.rate() * WINDOW.as_secs_f64() * OVER + SLACK;
-            self.outcome.fullest = self.outcome.fullest.max(window.len() as f64 / allowed);
+            self.outcome.max_window_fill = self.outcome.max_window_fill.max(window.len() as f64 / allowed);
         }
     }
 }
@@ -474,9 +478,11 @@
 }
 
 /// Whether a mishap hits an instance.
-fn is_hit(what: Mishap, number: usize, domain: u8) -> bool {
-    match what {
-        Mishap::Cut { domain: cut } => domain == cut,
-        Mishap::Kill { eighths } | Mishap::Freeze { eighths } => (number * 5) % 8 < usize::from(eighths),
+fn is_hit(kind: FaultKind, number: usize, domain: u8) -> bool {
+    match kind {
+        FaultKind::Cut { domain: cut } => domain == cut,
+        FaultKind::Kill { eighths } | FaultKind::Freeze { eighths } => {
+            (number * 5) % 8 < usize::from(eighths)
+        }
     }
 }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -19,7 +19,7 @@
 
 /// Cost of routing one request, at one size.
 #[derive(Debug, Clone, Serialize)]
-pub struct Decision {
+pub struct DecisionCost {
     /// Endpoints that the instance knows.
     pub endpoints: usize,
     /// Endpoints of the pool that the request goes to.
@@ -32,7 +32,7 @@
 
 /// Cost of control with no load, at one size.
 #[derive(Debug, Clone, Serialize)]
-pub struct Gossip {
+pub struct ControlCost {
     /// Instances.
     pub instances: usize,
     /// Endpoints.
@@ -55,7 +55,7 @@
 ///
 /// # Panics
 /// The core refuses a request although there is room, which would be a fault of it.
-pub fn decision(endpoints: usize) -> Decision {
+pub fn measure_decision(endpoints: usize) -> DecisionCost {
     let deployment = scaled(1, endpoints);
     let base = Instant::now();
     let identity = Identity {
@@ -115,17 +115,17 @@
     }
     let each = |time: Duration| time.as_secs_f64() * 1e6 / REQUESTS as f64;
     let pool = configuration.endpoints.iter().filter(|e| e.pool == configuration.pools[0].name).count();
-    Decision { endpoints, pool, choose_us: each(choose), whole_us: each(choose + whole) }
+    DecisionCost { endpoints, pool, choose_us: each(choose), whole_us: each(choose + whole) }
 }
 
 /// Measures what instances say to each other when nothing happens, and how fast a version spreads.
-pub fn gossip(instances: usize, endpoints: usize) -> Gossip {
+pub fn measure_control(instances: usize, endpoints: usize) -> ControlCost {
     let before = resident();
     let mut world = World::new(scaled(instances, endpoints), Options::default());
-    world.run(START);
+    world.run_until(START);
     let (messages, bytes) = (world.tally().messages, world.tally().bytes);
     let clock = Instant::now();
-    world.run(START + SPAN);
+    world.run_until(START + SPAN);
     let took = clock.elapsed().as_secs_f64();
     let memory = resident().saturating_sub(before) as f64 / instances as f64;
     let each = SPAN.as_secs_f64() * instances as f64;
@@ -136,9 +136,9 @@
         world.schedule(world.now(), Fault::Cut(Side::Domain(domain), Side::Platform));
     }
     let pause = world.now() + Duration::from_secs(5);
-    world.run(pause);
+    world.run_until(pause);
     let relayed = self::spread(&mut world);
-    Gossip { instances, endpoints, messages, bytes, core: took / each, memory, spread, relayed }
+    ControlCost { instances, endpoints, messages, bytes, core: took / each, memory, spread, relayed }
 }
 
 fn spread(world: &mut World) -> Duration {
@@ -147,9 +147,9 @@
     world.schedule(start, Fault::Share(share));
     loop {
         let next = world.now() + Duration::from_millis(5);
-        world.run(next);
+        world.run_until(next);
         let took = world.now().saturating_sub(start);
-        if world.is_uniform() || took > Duration::from_mins(1) {
+        if world.has_converged() || took > Duration::from_mins(1) {
             return took;
         }
     }
--- a/crates/bench/src/world/callers.rs
+++ b/crates/bench/src/world/callers.rs
@@ -27,13 +27,13 @@
 
 /// What a caller asks for.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct RequestSpec {
     /// Model, or service for a call.
     pub name: &'static str,
     /// Whether it is a call of a service.
     pub call: bool,
     /// Whether running it twice does no harm.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Whether it carries an idempotency key.
     pub keyed: bool,
     /// Prompt tokens.
@@ -41,7 +41,7 @@
     /// Tokens of the answer.
     pub output: u32,
     /// Gives up after this, if ever.
-    pub patience: Option<Duration>,
+    pub abandon_after: Option<Duration>,
 }
 
 /// A stream of requests.
@@ -54,7 +54,7 @@
     /// Calls a second that may not be repeated; half of them with a key.
     pub calls: f64,
     /// Share of callers that give up early.
-    pub impatient: f64,
+    pub abandon_fraction: f64,
     /// First arrival at or after this.
     pub from: Duration,
     /// No arrival after this.
@@ -64,7 +64,7 @@
 /// One caller with one request.
 #[derive(Debug)]
 pub(super) struct Caller {
-    pub(super) asked: Asked,
+    pub(super) asked: RequestSpec,
     class: String,
     /// First and last sending.
     began: Duration,
@@ -87,17 +87,25 @@
 
 impl World {
     /// Puts a stream of requests with random arrivals.
-    pub fn load(&mut self, load: Load) {
+    pub fn schedule_load(&mut self, load: Load) {
         self.arrivals(load, load.long, super::World::long_request);
         self.arrivals(load, load.quick, super::World::quick_request);
         self.arrivals(load, load.calls, |w| {
             let keyed = w.rng.random_bool(0.5);
             let name = w.deployment.service;
-            Asked { name, call: true, repeatable: false, keyed, prompt: 0, output: 0, patience: None }
+            RequestSpec {
+                name,
+                call: true,
+                idempotent: false,
+                keyed,
+                prompt: 0,
+                output: 0,
+                abandon_after: None,
+            }
         });
     }
 
-    fn arrivals(&mut self, load: Load, rate: f64, mut ask: impl FnMut(&mut Self) -> Asked) {
+    fn arrivals(&mut self, load: Load, rate: f64, mut ask: impl FnMut(&mut Self) -> RequestSpec) {
         if rate <= 0.0 {
             return;
         }
@@ -109,32 +117,32 @@
                 return;
             }
             let mut asked = ask(self);
-            if self.rng.random_bool(load.impatient) {
-                asked.patience = Some(Duration::from_secs_f64(self.rng.random_range(0.01..4.0)));
+            if self.rng.random_bool(load.abandon_fraction) {
+                asked.abandon_after = Some(Duration::from_secs_f64(self.rng.random_range(0.01..4.0)));
             }
-            self.ask(Duration::from_secs_f64(at), asked);
+            self.schedule_request(Duration::from_secs_f64(at), asked);
         }
     }
 
     /// Long logs and job sheets: some hundreds to some thousands of tokens, skewed to the short side.
-    fn long_request(&mut self) -> Asked {
-        let names = self.deployment.long;
+    fn long_request(&mut self) -> RequestSpec {
+        let names = self.deployment.long_models;
         let name = names[self.rng.random_range(0..names.len())];
         let spread: f64 = self.rng.random_range(0.0..1.0);
         let prompt = (300.0 * 20_f64.powf(spread)) as u32;
         let output = self.rng.random_range(60..240);
-        Asked { name, call: false, repeatable: true, keyed: false, prompt, output, patience: None }
+        RequestSpec { name, call: false, idempotent: true, keyed: false, prompt, output, abandon_after: None }
     }
 
-    fn quick_request(&mut self) -> Asked {
-        let name = self.deployment.quick;
+    fn quick_request(&mut self) -> RequestSpec {
+        let name = self.deployment.quick_model;
         let prompt = self.rng.random_range(60..400);
         let output = self.rng.random_range(20..80);
-        Asked { name, call: false, repeatable: true, keyed: false, prompt, output, patience: None }
+        RequestSpec { name, call: false, idempotent: true, keyed: false, prompt, output, abandon_after: None }
     }
 
     /// Puts one request.
-    pub fn ask(&mut self, at: Duration, asked: Asked) {
+    pub fn schedule_request(&mut self, at: Duration, asked: RequestSpec) {
         let configuration = &self.deployment.configuration;
         let class = configuration.models.iter().find(|m| m.name == asked.name).map(|m| m.class.clone());
         let class = class.unwrap_or_else(|| asked.name.to_owned());
@@ -161,7 +169,7 @@
     /// from another caller.
     pub(super) fn ask_deadly(&mut self, number: usize) {
         let asked = self.long_request();
-        self.ask(self.now, asked);
+        self.schedule_request(self.now, asked);
         if let Some(caller) = self.callers.last_mut() {
             caller.deadly = true;
             caller.fingerprint = Fingerprint(u64::MAX - number as u64);
@@ -190,13 +198,13 @@
         state.sent = self.now;
         let node = alive[self.rng.random_range(0..alive.len())];
         let work = self.callers[caller].work();
-        let patience = self.callers[caller].asked.patience;
+        let abandon_after = self.callers[caller].asked.abandon_after;
         let entry = &mut self.nodes[node];
         entry.next_ticket += 1;
         let (ticket, life) = (Ticket(entry.next_ticket), entry.life);
         entry.drivers.insert(ticket, Driver::new(caller));
-        if let Some(patience) = patience {
-            self.after(patience, Happening::Abandon { caller, life, node, ticket });
+        if let Some(abandon_after) = abandon_after {
+            self.after(abandon_after, Happening::Abandon { caller, life, node, ticket });
         }
         self.step(node, Event::Arrived { ticket, work });
     }
@@ -233,14 +241,14 @@
             })
         };
         let (good, good_first) = (good(first), good(since_began));
-        self.tally.used += u64::from(asked.prompt);
+        self.tally.used_tokens += u64::from(asked.prompt);
         let tally = self.tally.class(&class);
         tally.answered += 1;
         tally.good += u64::from(good);
         tally.good_first += u64::from(good_first);
         if !asked.call {
-            tally.first.saturating_record(first.as_millis().max(1) as u64);
-            tally.gap.saturating_record(gap.as_micros().max(1) as u64);
+            tally.first_token_ms.saturating_record(first.as_millis().max(1) as u64);
+            tally.token_gap_us.saturating_record(gap.as_micros().max(1) as u64);
             *self.tally.good_by_second.entry(now.as_secs()).or_default() += u64::from(good);
         }
     }
@@ -250,7 +258,7 @@
         *self.tally.refusals.entry(answer.code).or_default() += 1;
         let state = &mut self.callers[caller];
         state.unknown |= answer.outcome != Outcome::NotRun;
-        let safe = answer.outcome == Outcome::NotRun || state.asked.repeatable || state.asked.keyed;
+        let safe = answer.outcome == Outcome::NotRun || state.asked.idempotent || state.asked.keyed;
         match refusal.retry_after {
             // One that is told to stay away for longer has its answer.
             Some(retry) if safe && retry <= DEADLINE => self.come_back(caller, retry),
@@ -262,7 +270,7 @@
     pub(super) fn connection_broken(&mut self, caller: usize) {
         let state = &mut self.callers[caller];
         state.unknown = true;
-        if state.asked.repeatable || state.asked.keyed {
+        if state.asked.idempotent || state.asked.keyed {
             self.come_back(caller, AGAIN);
         } else {
             self.give_up(caller);
@@ -286,16 +294,16 @@
     }
 
     /// Heals everything, waits, and looks for what must not be left.
-    pub fn settle(&mut self) {
+    pub fn settle_and_check(&mut self) {
         self.heal_all();
-        self.run(self.now + Duration::from_mins(3));
+        self.run_until(self.now + Duration::from_mins(3));
         let last = self.now + CALLERS_END;
         loop {
             self.check_sendings();
             if self.callers.iter().all(|c| c.done) || self.now >= last {
                 break;
             }
-            self.run(self.now + STEP);
+            self.run_until(self.now + STEP);
         }
         for (index, caller) in self.callers.iter().enumerate() {
             if !caller.done {
@@ -347,7 +355,7 @@
     fn work(&self) -> Work {
         let (key, deadline) = (self.key, DEADLINE);
         if self.asked.call {
-            let method = if self.asked.repeatable { "GET" } else { "POST" };
+            let method = if self.asked.idempotent { "GET" } else { "POST" };
             return Work::Call(Call {
                 team: String::new(),
                 service: self.asked.name.to_owned(),
--- a/crates/bench/src/world/deployment.rs
+++ b/crates/bench/src/world/deployment.rs
@@ -11,9 +11,9 @@
     /// Entry instances.
     pub instances: Vec<InstanceEntry>,
     /// Model of long work, with its share of requests.
-    pub long: &'static [&'static str],
+    pub long_models: &'static [&'static str],
     /// Model of quick work.
-    pub quick: &'static str,
+    pub quick_model: &'static str,
     /// Service whose calls may not be repeated.
     pub service: &'static str,
 }
@@ -21,13 +21,13 @@
 fn deployment(
     configuration: &str,
     list: &str,
-    long: &'static [&'static str],
-    quick: &'static str,
+    long_models: &'static [&'static str],
+    quick_model: &'static str,
     service: &'static str,
 ) -> Deployment {
     let configuration = parse_configuration(configuration).expect("the example configuration checks");
     let list: InstanceList = serde_json::from_str(list).expect("the example list is JSON");
-    Deployment { configuration, instances: list.instances, long, quick, service }
+    Deployment { configuration, instances: list.instances, long_models, quick_model, service }
 }
 
 /// A fleet of any size: instances spread over five domains, one pool for each two dozen endpoints, a third of
--- a/crates/bench/src/world/engine.rs
+++ b/crates/bench/src/world/engine.rs
@@ -22,22 +22,22 @@
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSpeed {
     /// Prompt tokens prefilled a second, one prompt at a time.
-    pub prefill: f64,
+    pub prefill_tokens_per_s: f64,
     /// Time of a decode step with an empty batch.
-    pub step: Duration,
+    pub base_step: Duration,
     /// Added for each stream of the batch.
-    pub stream: Duration,
+    pub step_per_stream: Duration,
     /// Bytes of KV cache for each prompt token.
-    pub kv_token: u64,
+    pub kv_token_bytes: u64,
 }
 
 impl Default for EngineSpeed {
     fn default() -> Self {
         Self {
-            prefill: 12_000.0,
-            step: Duration::from_millis(20),
-            stream: Duration::from_micros(1_200),
-            kv_token: 100_000,
+            prefill_tokens_per_s: 12_000.0,
+            base_step: Duration::from_millis(20),
+            step_per_stream: Duration::from_micros(1_200),
+            kv_token_bytes: 100_000,
         }
     }
 }
@@ -45,7 +45,7 @@
 impl EngineSpeed {
     /// Time of a decode step with `streams` streams.
     pub fn decode_step(&self, streams: u32) -> Duration {
-        self.step + self.stream * streams
+        self.base_step + self.step_per_stream * streams
     }
 }
 
@@ -262,8 +262,9 @@
         let Some(((_, number), waiting)) = engine.queue.pop_first() else {
             return;
         };
-        let took = Duration::from_secs_f64(f64::from(waiting.tokens) / self.options.speed.prefill);
-        self.tally.prefilled += u64::from(waiting.tokens);
+        let took =
+            Duration::from_secs_f64(f64::from(waiting.tokens) / self.options.speed.prefill_tokens_per_s);
+        self.tally.prefilled_tokens += u64::from(waiting.tokens);
         engine.working = Some((number, waiting));
         self.after(took, Happening::PrefillEnd { endpoint, number });
     }
@@ -280,7 +281,7 @@
         if current == number {
             let attempt = waiting.job.attempt;
             engine.caches.insert(attempt, Cache { tokens: waiting.tokens, until: now + KEEP });
-            let bytes = u64::from(waiting.tokens) * self.options.speed.kv_token;
+            let bytes = u64::from(waiting.tokens) * self.options.speed.kv_token_bytes;
             self.reply(endpoint, &waiting.job, Event::Prefilled { attempt, bytes, cached: 0 });
         } else if current != u64::MAX {
             // The end of an earlier one; this one is still at work.
@@ -304,7 +305,7 @@
             self.engines[endpoint].held.remove(&job.attempt);
             return self.fail(endpoint, &job, StepFailure::Evicted);
         };
-        let bytes = u64::from(held.tokens) * self.options.speed.kv_token;
+        let bytes = u64::from(held.tokens) * self.options.speed.kv_token_bytes;
         let at = self.network.transfer(self.now, from, to, bytes);
         self.put(at, Happening::Moved { endpoint, job, origin });
     }
@@ -431,7 +432,7 @@
         let engine = &mut self.engines[endpoint];
         let holds = engine.holds(now);
         engine.reports.push_back((now, holds));
-        let lag = self.options.lag;
+        let lag = self.options.report_lag;
         while engine.reports.len() > 1 && engine.reports[1].0 + lag <= now {
             engine.reports.pop_front();
         }
@@ -448,7 +449,7 @@
             return;
         };
         self.callers[body].ran += 1;
-        if self.callers[body].ran > 1 && !self.callers[body].asked.repeatable {
+        if self.callers[body].ran > 1 && !self.callers[body].asked.idempotent {
             let text = format!("{:?}: a call that may not be repeated ran twice, {}", self.now, job.attempt);
             self.tally.violations.push(text);
         }
--- a/crates/bench/src/world/faults.rs
+++ b/crates/bench/src/world/faults.rs
@@ -154,7 +154,7 @@
     }
 
     /// A random decode engine, for faults that need one.
-    pub fn some_decode(&mut self) -> usize {
+    pub fn random_decode_endpoint(&mut self) -> usize {
         let found = self.random_endpoint(Role::Decode);
         found.unwrap_or_else(|| self.rng.random_range(0..self.engines.len()))
     }
--- a/crates/bench/src/world/mod.rs
+++ b/crates/bench/src/world/mod.rs
@@ -19,7 +19,7 @@
 use rand::rngs::SmallRng;
 use teaselshunt_core::{EndpointId, Event, Fingerprint, InstanceId, Message, Placement, RequestId, Ticket};
 
-pub use callers::{Asked, Load};
+pub use callers::{Load, RequestSpec};
 pub use deployment::{Deployment, britasol, pindan, scaled};
 pub use engine::EngineSpeed;
 pub use faults::Fault;
@@ -43,7 +43,7 @@
     /// Speed of the engines.
     pub speed: EngineSpeed,
     /// Age of load reports.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// How long the platform's list takes to notice a death.
     pub list_lag: Duration,
 }
@@ -54,7 +54,7 @@
             seed: 1,
             placement: Placement::Owner,
             speed: EngineSpeed::default(),
-            lag: Duration::from_millis(300),
+            report_lag: Duration::from_millis(300),
             list_lag: Duration::from_secs(3),
         }
     }
@@ -189,7 +189,7 @@
     }
 
     /// Whether every instance that lives has the latest version in force.
-    pub fn is_uniform(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let latest = self.platform.latest().version;
         (0..self.nodes.len()).all(|i| self.version(i).is_none_or(|v| v == latest))
     }
@@ -210,7 +210,7 @@
     }
 
     /// Runs until a time.
-    pub fn run(&mut self, until: Duration) {
+    pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > until {
                 break;
@@ -219,7 +219,7 @@
                 break;
             };
             self.now = next.at;
-            self.tally.happenings += 1;
+            self.tally.sim_events += 1;
             self.happen(next.happening);
         }
         self.now = until;
--- a/crates/bench/src/world/tally.rs
+++ b/crates/bench/src/world/tally.rs
@@ -21,9 +21,9 @@
     /// Callers that gave up after refusals.
     pub refused: u64,
     /// First token, in milliseconds.
-    pub first: Histogram<u64>,
+    pub first_token_ms: Histogram<u64>,
     /// Mean gap between the tokens of an answer, in microseconds.
-    pub gap: Histogram<u64>,
+    pub token_gap_us: Histogram<u64>,
 }
 
 impl Default for ClassTally {
@@ -35,8 +35,8 @@
             good: 0,
             good_first: 0,
             refused: 0,
-            first: histogram(LONGEST),
-            gap: histogram(LONGEST * 1000),
+            first_token_ms: histogram(LONGEST),
+            token_gap_us: histogram(LONGEST * 1000),
         }
     }
 }
@@ -49,9 +49,9 @@
     /// Whole answers within both targets, by second of the run.
     pub good_by_second: BTreeMap<u64, u64>,
     /// Prompt tokens that prefill engines worked on.
-    pub prefilled: u64,
+    pub prefilled_tokens: u64,
     /// Prompt tokens of requests that were answered, each counted once.
-    pub used: u64,
+    pub used_tokens: u64,
     /// Refusals by code.
     pub refusals: BTreeMap<&'static str, u64>,
     /// Requests sent again by their callers.
@@ -61,7 +61,7 @@
     /// Their bytes, without the transport's.
     pub bytes: u64,
     /// Things that happened.
-    pub happenings: u64,
+    pub sim_events: u64,
     /// Events that instances took in.
     pub steps: u64,
     /// What must never be seen.
@@ -93,9 +93,9 @@
 
     /// Share of the prefilled tokens that no answer used.
     pub fn wasted(&self) -> f64 {
-        if self.prefilled == 0 {
+        if self.prefilled_tokens == 0 {
             return 0.0;
         }
-        1.0 - self.used.min(self.prefilled) as f64 / self.prefilled as f64
+        1.0 - self.used_tokens.min(self.prefilled_tokens) as f64 / self.prefilled_tokens as f64
     }
 }
--- a/crates/bench/tests/all/keys.rs
+++ b/crates/bench/tests/all/keys.rs
@@ -34,7 +34,7 @@
     let services: Vec<usize> = endpoints.filter(|(_, e)| e.role == Role::Service).map(|(i, _)| i).collect();
     let mut world = World::new(deployment, Options { seed, ..Options::default() });
     let (from, until) = (at(storm.from), at(45_000));
-    world.load(Load { long: 0.0, quick: 0.0, calls: 30.0, impatient: 0.0, from, until });
+    world.schedule_load(Load { long: 0.0, quick: 0.0, calls: 30.0, abandon_fraction: 0.0, from, until });
     for service in services {
         world.schedule(at(storm.stall), Fault::Stall(service));
         world.schedule(at(40_000), Fault::StallEnd(service));
@@ -42,8 +42,8 @@
     for (ms, fault) in faults {
         world.schedule(at(ms), fault);
     }
-    world.run(until);
-    world.settle();
+    world.run_until(until);
+    world.settle_and_check();
     (world.tally().resent, world.tally().violations.clone())
 }
 
@@ -157,8 +157,8 @@
             world.schedule(at(20_050 + n * 400), Fault::Start((seed + n) as usize));
         }
         let (from, until) = (at(21_000), at(32_000));
-        world.load(Load { long: 0.0, quick: 0.0, calls: 30.0, impatient: 0.0, from, until });
-        world.run(until + at(30_000));
+        world.schedule_load(Load { long: 0.0, quick: 0.0, calls: 30.0, abandon_fraction: 0.0, from, until });
+        world.run_until(until + at(30_000));
         let tally = &world.tally().classes[name];
         assert!(tally.offered > 200, "seed {seed}: {} calls", tally.offered);
         assert_eq!((tally.refused, tally.answered), (0, tally.offered), "seed {seed}: refused and answered");
--- a/crates/bench/tests/all/policy.rs
+++ b/crates/bench/tests/all/policy.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_full_pool_wastes_no_prefill() {
     for deployment in [britasol(), pindan()] {
-        let experiment = Experiment { deployment, load: 1.0, seed: 3, trouble: None };
+        let experiment = Experiment { deployment, load: 1.0, seed: 3, scenario: None };
         let ours = experiment.run(Policy::Ours);
         let before = experiment.run(Policy::TwoChoices);
         assert!(ours.wasted < 0.01, "{}", ours.wasted);
@@ -20,6 +20,6 @@
 /// those that can still be in time go first, and most of the goodput stays.
 #[test]
 fn overload_does_not_collapse() {
-    let at = |load| Experiment { deployment: britasol(), load, seed: 3, trouble: None }.run(Policy::Ours);
+    let at = |load| Experiment { deployment: britasol(), load, seed: 3, scenario: None }.run(Policy::Ours);
     assert!(at(1.5).goodput_first > 0.8 * at(0.9).goodput_first);
 }
--- a/crates/bench/tests/all/quotas.rs
+++ b/crates/bench/tests/all/quotas.rs
@@ -1,7 +1,7 @@
 //! Limits of teams under random plans of cuts, kills, freezes and lost tellings.
 
 use quickcheck::{Arbitrary, Gen};
-use teaselshunt_bench::{Mishap, QuotaPlan, QuotaTrouble};
+use teaselshunt_bench::{FaultKind, QuotaPlan, TimedFault};
 use teaselshunt_teams::QuotaMode;
 
 /// Size given to the generator; plans bound themselves.
@@ -18,7 +18,7 @@
     for seed in 1..400 {
         for way in [QuotaMode::Parts, QuotaMode::Shared] {
             let outcome = plan(seed).run(way);
-            assert!(!outcome.is_over(), "seed {seed}, {way:?}: {outcome:?}, {:?}", plan(seed));
+            assert!(!outcome.exceeds_bound(), "seed {seed}, {way:?}: {outcome:?}, {:?}", plan(seed));
         }
     }
 }
@@ -28,9 +28,9 @@
 #[test]
 fn a_team_below_its_limit_is_refused_next_to_nothing() {
     for seed in 1..100 {
-        let plan = QuotaPlan { demand: 5, troubles: Vec::new(), ..plan(seed) };
+        let plan = QuotaPlan { demand: 5, faults: Vec::new(), ..plan(seed) };
         let outcome = plan.run(QuotaMode::Shared);
-        assert!(outcome.admitted >= outcome.asked * 0.995, "seed {seed}: {outcome:?}, {plan:?}");
+        assert!(outcome.admitted >= outcome.offered * 0.995, "seed {seed}: {outcome:?}, {plan:?}");
     }
 }
 
@@ -39,7 +39,7 @@
 #[test]
 fn a_start_of_all_inside_a_cut_keeps_to_the_bound() {
     let outcome = plan(12_021).run(QuotaMode::Shared);
-    assert!(!outcome.is_over(), "{outcome:?}");
+    assert!(!outcome.exceeds_bound(), "{outcome:?}");
 }
 
 /// Three failure domains are cut off from one another at the moment when a flood begins, so that each has a full burst.
@@ -47,15 +47,15 @@
 fn domains_that_are_all_cut_off_as_a_flood_begins_keep_to_the_bound() {
     for seed in [7_228, 15_667] {
         let outcome = plan(seed).run(QuotaMode::Shared);
-        assert!(!outcome.is_over(), "seed {seed}: {outcome:?}");
+        assert!(!outcome.exceeds_bound(), "seed {seed}: {outcome:?}");
     }
 }
 
 /// A cut lasts. The smaller side must not be starved: both together get the limit, less what the notice of the cut costs.
 #[test]
 fn a_cut_starves_nobody() {
-    let cut = QuotaTrouble { what: Mishap::Cut { domain: 0 }, at: 2000, length: 16_000 };
-    let base = QuotaPlan { seed: 5, domains: vec![2, 6], demand: 20, skew: 0, loss: 2, troubles: vec![cut] };
+    let cut = TimedFault { kind: FaultKind::Cut { domain: 0 }, at: 2000, length: 16_000 };
+    let base = QuotaPlan { seed: 5, domains: vec![2, 6], demand: 20, skew: 0, loss: 2, faults: vec![cut] };
     let outcome = base.run(QuotaMode::Shared);
     let limit = 10_000.0 * 20.0;
     assert!(outcome.admitted >= limit * 0.9, "{outcome:?}");
--- a/crates/bench/tests/all/random.rs
+++ b/crates/bench/tests/all/random.rs
@@ -33,5 +33,5 @@
 fn the_same_seed_gives_the_same_run() {
     let plan = Plan::arbitrary(&mut Gen::from_size_and_seed(SIZE, 976));
     let (a, b) = (plan.run(), plan.run());
-    assert_eq!((a.steps, a.happenings, a.messages, a.bytes), (b.steps, b.happenings, b.messages, b.bytes));
+    assert_eq!((a.steps, a.sim_events, a.messages, a.bytes), (b.steps, b.sim_events, b.messages, b.bytes));
 }
--- a/crates/bench/tests/all/rates.rs
+++ b/crates/bench/tests/all/rates.rs
@@ -20,14 +20,14 @@
     let small = (1..).filter(|&seed| plan(seed).instances() <= INSTANCES);
     for seed in small.take(60) {
         let outcome = plan(seed).run(Pacing::Proportional);
-        assert!(!outcome.is_over(), "seed {seed}: {outcome:?}, {:?}", plan(seed));
+        assert!(!outcome.exceeds_bound(), "seed {seed}: {outcome:?}, {:?}", plan(seed));
     }
 }
 
 /// Nine instances before four endpoints that take four requests a second each.
 fn nine(seed: u64, demand: u8) -> RatePlan {
-    let (domains, troubles) = (vec![2, 3, 2, 2], Vec::new());
-    RatePlan { seed, domains, endpoints: 4, rate: 40, demand, skew: 1, loss: 2, troubles }
+    let (domains, faults) = (vec![2, 3, 2, 2], Vec::new());
+    RatePlan { seed, domains, endpoints: 4, rate: 40, demand, skew: 1, loss: 2, faults }
 }
 
 /// What endpoints take is used where enough callers ask: who keeps to a rate by sending nothing serves nobody.
@@ -35,7 +35,7 @@
 fn what_endpoints_take_is_used() {
     for seed in 1..6 {
         let outcome = nine(seed, 25).run(Pacing::Proportional);
-        assert!(outcome.used() >= 0.9, "seed {seed}: {outcome:?}");
+        assert!(outcome.utilization() >= 0.9, "seed {seed}: {outcome:?}");
     }
 }
 
@@ -44,7 +44,7 @@
 fn callers_below_the_rates_are_refused_next_to_nothing() {
     for seed in 1..6 {
         let outcome = nine(seed, 6).run(Pacing::Proportional);
-        assert!(outcome.refused() <= 0.02, "seed {seed}: {outcome:?}");
+        assert!(outcome.refused_fraction() <= 0.02, "seed {seed}: {outcome:?}");
     }
 }
 
@@ -52,7 +52,7 @@
 /// times that: as long as each request tried every endpoint, one that had room got 1.3 times what it may.
 #[test]
 fn hundreds_of_instances_do_not_all_turn_to_the_endpoint_that_has_room() {
-    let (domains, troubles) = (vec![44, 61, 87, 76], Vec::new());
+    let (domains, faults) = (vec![44, 61, 87, 76], Vec::new());
     let plan = RatePlan {
         seed: 7_314_838_830_065_352_884,
         domains,
@@ -61,8 +61,8 @@
         demand: 50,
         skew: 0,
         loss: 6,
-        troubles,
+        faults,
     };
     let outcome = plan.run(Pacing::Proportional);
-    assert!(!outcome.is_over(), "{outcome:?}");
+    assert!(!outcome.exceeds_bound(), "{outcome:?}");
 }
