--- a/crates/bench/src/world/crashes.rs
+++ b/crates/bench/src/world/crashes.rs
@@ -1,4 +1,9 @@
-//! Engines that crash under requests, and whether the instances keep such requests from them.
+//! Engines that crash under requests, and the check that instances quarantine such requests.
+//!
+//! The first [`UNPREVENTABLE_CRASHES`] crashes under a request identify it. After [`PROPAGATION_TIME`] all
+//! instances know the request. From then on the request may cause [`LATER_CRASHES_MAX`] more crashes; each
+//! further one is a violation. Crashes are not counted for [`PROPAGATION_TIME`] after any fault, during a
+//! network partition, or while an instance is frozen, because knowledge does not spread reliably then.
 
 use std::time::Duration;
 
@@ -7,40 +12,40 @@
 use super::World;
 use super::engine::{Job, Task};
 
-/// How long an engine takes to start again.
-pub(super) const RESTART: Duration = Duration::from_secs(4);
-/// Crashes under one request that nobody can prevent.
-const UNKNOWN: usize = 3;
-/// Time in which all instances know what one of them has learned, if nothing is broken meanwhile.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Crashes that one request may still cause after that.
-const MORE: usize = 3;
+/// Time from a crash of an engine until it has restarted.
+pub(super) const RESTART_TIME: Duration = Duration::from_secs(4);
+/// Crashes under one request that instances cannot prevent, because the request is not yet identified.
+const UNPREVENTABLE_CRASHES: usize = 3;
+/// Time in which the knowledge of one instance reaches all instances, if no fault occurs meanwhile.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Maximum number of crashes under one request after all instances know it.
+const LATER_CRASHES_MAX: usize = 3;
 
 /// Crashes under one request.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    /// How many.
+    /// Number of crashes.
     count: usize,
-    /// When so many had happened that instances can know.
-    known: Option<Duration>,
-    /// How many happened after all could know.
-    late: usize,
+    /// Time of the crash from which on instances can identify the request.
+    knowable_since: Option<Duration>,
+    /// Number of crashes after all instances could know the request.
+    preventable: usize,
 }
 
 impl World {
-    /// Whether every engine crashes that generates for a step's request.
-    pub(super) fn is_deadly(&self, job: &Job) -> bool {
-        self.fingerprint(job).is_some_and(|(_, deadly)| deadly)
+    /// Whether the request of a step crashes every engine that generates for it.
+    pub(super) fn crashes_engine(&self, job: &Job) -> bool {
+        self.fingerprint(job).is_some_and(|(_, crashes)| crashes)
     }
 
     fn fingerprint(&self, job: &Job) -> Option<(Fingerprint, bool)> {
         let node = &self.nodes[job.node];
-        let driver = node.drivers.get(&job.ticket).filter(|_| node.life == job.life)?;
+        let driver = node.drivers.get(&job.ticket).filter(|_| node.start_count == job.start_count)?;
         let caller = &self.callers[driver.caller];
-        Some((caller.fingerprint, caller.deadly))
+        Some((caller.fingerprint, caller.crashes_engines))
     }
 
-    /// A request crashes an engine; whatever ran there breaks off.
+    /// Crashes an engine under a request. All steps in progress there fail.
     pub(super) fn crash(&mut self, endpoint: usize, job: &Job) {
         if let Some((request, _)) = self.fingerprint(job) {
             self.count_crash(request);
@@ -52,26 +57,27 @@
 
     fn count_crash(&mut self, request: Fingerprint) {
         let now = self.now;
-        let settled = now.saturating_sub(self.disturbed) > SETTLED
-            && !self.network.any_cut()
+        let is_undisturbed = now.saturating_sub(self.last_disturbance) > PROPAGATION_TIME
+            && !self.network.has_partition()
             && !self.nodes.iter().any(|node| node.frozen);
         let crashes = self.crashes.entry(request).or_default();
         crashes.count += 1;
-        if crashes.count == UNKNOWN {
-            crashes.known = Some(now);
+        if crashes.count == UNPREVENTABLE_CRASHES {
+            crashes.knowable_since = Some(now);
         }
-        let could_know = crashes.known.is_some_and(|known| now.saturating_sub(known) > SETTLED);
-        crashes.late += usize::from(could_know && settled);
-        if crashes.late > MORE {
+        let is_knowable =
+            crashes.knowable_since.is_some_and(|since| now.saturating_sub(since) > PROPAGATION_TIME);
+        crashes.preventable += usize::from(is_knowable && is_undisturbed);
+        if crashes.preventable > LATER_CRASHES_MAX {
             let text = format!(
-                "{now:?}: {request} crashed {} engines, {} of them known",
-                crashes.count, crashes.late
+                "{now:?}: {request} crashed {} engines, {} of them after all instances could know the request",
+                crashes.count, crashes.preventable
             );
             self.tally.violations.push(text);
         }
     }
 
-    /// A step reaches an engine whose process does not run.
+    /// Refuses the connection for a step, because the process of the engine is not running.
     pub(super) fn refuse_connection(&mut self, endpoint: usize, job: &Job) {
         let id = self.engines[endpoint].id;
         match job.task {
--- a/crates/bench/src/world/deployment.rs
+++ b/crates/bench/src/world/deployment.rs
@@ -1,20 +1,20 @@
-//! The first users' deployments, as their example settings have them.
+//! Deployments to simulate: those of the first users, from their example settings, and a scaled one.
 
 use teaselshunt_core::{InstanceEntry, InstanceList};
 use teaselshunt_settings::{Configuration, Domain, Endpoint, Model, Pool, Role, parse_configuration};
 
-/// A configuration, its instances, and the kinds of work that its callers send.
+/// A configuration, its instances, and the kinds of requests that its callers send.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Version 1.
+    /// Configuration with version 1.
     pub configuration: Configuration,
     /// Entry instances.
     pub instances: Vec<InstanceEntry>,
-    /// Model of long work, with its share of requests.
+    /// Models of long requests; every model gets an equal share of the requests.
     pub long_models: &'static [&'static str],
-    /// Model of quick work.
+    /// Model of quick requests.
     pub quick_model: &'static str,
-    /// Service whose calls may not be repeated.
+    /// Service with non-idempotent calls.
     pub service: &'static str,
 }
 
@@ -25,13 +25,13 @@
     quick_model: &'static str,
     service: &'static str,
 ) -> Deployment {
-    let configuration = parse_configuration(configuration).expect("the example configuration checks");
+    let configuration = parse_configuration(configuration).expect("the example configuration is valid");
     let list: InstanceList = serde_json::from_str(list).expect("the example list is JSON");
     Deployment { configuration, instances: list.instances, long_models, quick_model, service }
 }
 
-/// A fleet of any size: instances spread over five domains, one pool for each two dozen endpoints, a third of
-/// them for prefill.
+/// A deployment of any size: instances and endpoints are spread over five domains, there is one pool for every
+/// 24 endpoints, and a third of the endpoints of a pool are for prefill.
 pub fn scaled(instances: usize, endpoints: usize) -> Deployment {
     let mut deployment = britasol();
     let c = &mut deployment.configuration;
@@ -44,20 +44,20 @@
     c.models = (0..pools)
         .map(|i| Model { name: format!("model-{i}"), pool: pool(i), class: "summary".to_owned() })
         .collect();
-    let sample = c.endpoints[0].clone();
+    let template = c.endpoints[0].clone();
     c.endpoints = (0..endpoints)
         .map(|i| {
             let role = if (i / pools).is_multiple_of(3) { Role::Prefill } else { Role::Decode };
             let slots = if role == Role::Prefill { 4 } else { 20 };
             let name = format!("endpoint-{i}");
-            Endpoint { name, domain: domain(i), pool: pool(i), role, slots, ..sample.clone() }
+            Endpoint { name, domain: domain(i), pool: pool(i), role, slots, ..template.clone() }
         })
         .collect();
     c.services.clear();
     c.links.clear();
-    let sample = deployment.instances[0].clone();
+    let template = deployment.instances[0].clone();
     deployment.instances = (0..instances)
-        .map(|i| InstanceEntry { name: format!("entry-{i}"), domain: domain(i), ..sample.clone() })
+        .map(|i| InstanceEntry { name: format!("entry-{i}"), domain: domain(i), ..template.clone() })
         .collect();
     deployment
 }
--- a/crates/bench/src/world/drivers.rs
+++ b/crates/bench/src/world/drivers.rs
@@ -1,4 +1,7 @@
-//! What the daemon's drivers do, in virtual time: one step at a time, with timeouts by progress.
+//! Model of the daemon's drivers in virtual time, and checks of what they observe.
+//!
+//! A driver performs the steps of one request, one step at a time. A step fails if it makes no progress for
+//! its timeout. The time that the instance's process was frozen does not count.
 
 use std::time::Duration;
 
@@ -6,32 +9,33 @@
 
 use super::engine::{Job, Task};
 use super::network::{Network, Side};
-use super::platform::SPREAD;
-use super::{Happening, World};
+use super::platform::VERSION_SPREAD_TIME;
+use super::{SimEvent, World};
 
-/// A connection that cannot be made is given up after this.
-const CONNECT: Duration = Duration::from_secs(1);
-/// An engine that cannot be asked for its load is given up after this.
-const POLL: Duration = Duration::from_secs(2);
+/// Time after which a connection attempt fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a poll of an unreachable engine fails.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One request's driver.
+/// Driver of one request.
 #[derive(Debug)]
 pub(super) struct Driver {
     pub(super) caller: usize,
     accepted: bool,
-    /// Try in progress.
+    /// Attempt in progress.
     attempt: Option<AttemptId>,
-    /// Grows with every step, so that a late look at an earlier one is told apart.
-    number: u32,
-    /// Try whose KV cache is to be moved.
-    cache: Option<AttemptId>,
+    /// Number of the step in progress; a timeout check for an earlier step has no effect.
+    step_number: u32,
+    /// Attempt whose KV cache is to be imported.
+    cache_attempt: Option<AttemptId>,
     /// Tokens passed to the caller.
     offset: u32,
-    moved: Duration,
+    /// Time of the last progress of the step.
+    last_progress: Duration,
 }
 
 impl Driver {
-    /// Whether the core has taken the request.
+    /// Whether the core has accepted the request.
     pub(super) fn accepted(&self) -> bool {
         self.accepted
     }
@@ -41,234 +45,256 @@
             caller,
             accepted: false,
             attempt: None,
-            number: 0,
-            cache: None,
+            step_number: 0,
+            cache_attempt: None,
             offset: 0,
-            moved: Duration::ZERO,
+            last_progress: Duration::ZERO,
         }
     }
 }
 
 impl World {
-    /// Does a step that the core decided on.
-    #[expect(clippy::needless_pass_by_value, reason = "effects are consumed by whoever performs them")]
-    pub(super) fn drive(&mut self, node: usize, effect: Effect) {
+    /// Performs an effect that concerns a request or an endpoint.
+    #[expect(clippy::needless_pass_by_value, reason = "the effect is consumed")]
+    pub(super) fn perform_request_effect(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Accept { ticket, request } => {
                 if let Some(driver) = self.nodes[node].drivers.get_mut(&ticket) {
                     driver.accepted = true;
-                    self.callers[driver.caller].request = Some(request);
+                    self.callers[driver.caller].request_id = Some(request);
                 }
             }
             Effect::Prefill { ticket, attempt, target, priority, timeout } => {
-                let Some(driver) = self.begin(node, ticket, attempt) else {
+                let Some(driver) = self.begin_step(node, ticket, attempt) else {
                     return;
                 };
                 let (caller, offset) = (driver.caller, driver.offset);
-                driver.cache = Some(attempt);
-                let tokens = self.callers[caller].asked.prompt + offset;
-                self.go(node, ticket, attempt, target, Task::Prefill { tokens, priority });
-                self.look_after(node, ticket, timeout, false);
+                driver.cache_attempt = Some(attempt);
+                let tokens = self.callers[caller].spec.prompt + offset;
+                self.send_step(node, ticket, attempt, target, Task::Prefill { tokens, priority });
+                self.schedule_timeout_check(node, ticket, timeout, false);
             }
             Effect::Import { ticket, attempt, origin, target, timeout } => {
-                let Some(driver) = self.begin(node, ticket, attempt) else {
+                let Some(driver) = self.begin_step(node, ticket, attempt) else {
                     return;
                 };
-                let cache = driver.cache.unwrap_or(attempt);
+                let cache_attempt = driver.cache_attempt.unwrap_or(attempt);
                 let origin = self.by_endpoint[&origin.id];
-                self.go(node, ticket, attempt, target, Task::Import { cache, origin });
-                self.look_after(node, ticket, timeout, false);
+                self.send_step(node, ticket, attempt, target, Task::Import { cache_attempt, origin });
+                self.schedule_timeout_check(node, ticket, timeout, false);
             }
             Effect::Decode { ticket, attempt, target, resume, stall_timeout, .. } => {
-                let Some(driver) = self.begin(node, ticket, attempt) else {
+                let Some(driver) = self.begin_step(node, ticket, attempt) else {
                     return;
                 };
                 let (caller, offset) = (driver.caller, driver.offset);
-                let length = self.callers[caller].asked.output;
-                self.go(node, ticket, attempt, target, Task::Decode { resume, offset, length });
-                self.look_after(node, ticket, stall_timeout, true);
+                let length = self.callers[caller].spec.output;
+                self.send_step(node, ticket, attempt, target, Task::Decode { resume, offset, length });
+                self.schedule_timeout_check(node, ticket, stall_timeout, true);
             }
             Effect::Call { ticket, attempt, target, timeout } => {
-                let Some(driver) = self.begin(node, ticket, attempt) else {
+                let Some(driver) = self.begin_step(node, ticket, attempt) else {
                     return;
                 };
-                let body = driver.caller;
-                self.go(node, ticket, attempt, target, Task::Call { body });
-                self.look_after(node, ticket, timeout, false);
+                let caller = driver.caller;
+                self.send_step(node, ticket, attempt, target, Task::Call { caller });
+                self.schedule_timeout_check(node, ticket, timeout, false);
             }
             Effect::Cancel { attempt, target } => {
-                self.go(node, Ticket(attempt.request.sequence), attempt, target, Task::Cancel);
+                self.send_step(node, Ticket(attempt.request.sequence), attempt, target, Task::Cancel);
             }
             Effect::Poll { target } => self.poll(node, target),
             Effect::Refuse { ticket, refusal } => {
                 let outcome = refusal.kind.answer().outcome;
                 if let Some(driver) = self.nodes[node].drivers.remove(&ticket) {
                     self.check_refusal(driver.caller, outcome);
-                    self.refused(driver.caller, refusal);
+                    self.handle_refusal(driver.caller, refusal);
                 }
             }
             Effect::Replay { ticket, .. } => {
                 if let Some(driver) = self.nodes[node].drivers.remove(&ticket) {
-                    self.answered(driver.caller);
+                    self.complete_request(driver.caller);
                 }
             }
             Effect::Send { .. } | Effect::Audit(_) | Effect::Stopped => {}
         }
     }
 
-    fn begin(&mut self, node: usize, ticket: Ticket, attempt: AttemptId) -> Option<&mut Driver> {
+    fn begin_step(&mut self, node: usize, ticket: Ticket, attempt: AttemptId) -> Option<&mut Driver> {
         let now = self.now;
         let driver = self.nodes[node].drivers.get_mut(&ticket)?;
         driver.attempt = Some(attempt);
-        driver.number += 1;
-        driver.moved = now;
+        driver.step_number += 1;
+        driver.last_progress = now;
         Some(driver)
     }
 
-    /// Sends a step to an endpoint; a way that is cut cannot be connected over.
-    fn go(&mut self, node: usize, ticket: Ticket, attempt: AttemptId, target: Target, task: Task) {
+    /// Sends a step to an endpoint. Across a network partition the connection attempt fails.
+    fn send_step(&mut self, node: usize, ticket: Ticket, attempt: AttemptId, target: Target, task: Task) {
         let endpoint = self.by_endpoint[&target.id];
         let (near, far) = (self.nodes[node].domain, self.engines[endpoint].domain);
-        let life = self.nodes[node].life;
-        let cancel = matches!(task, Task::Cancel);
-        let job = Job { node, life, ticket, attempt, task };
-        if !self.network.is_cut(Side::Domain(near), Side::Domain(far)) {
+        let start_count = self.nodes[node].start_count;
+        let is_cancel = matches!(task, Task::Cancel);
+        let job = Job { node, start_count, ticket, attempt, task };
+        if !self.network.is_partitioned(Side::Domain(near), Side::Domain(far)) {
             let delay = Network::delay(near, far, &mut self.rng);
-            return self.after(delay, Happening::Reach { endpoint, job });
+            return self.schedule_after(delay, SimEvent::StepArrival { endpoint, job });
         }
-        let event = if cancel {
+        let event = if is_cancel {
             Event::Cancelled { attempt, endpoint: target.id, confirmed: false }
         } else {
             let offset = self.offset(&job);
             Event::Failed { attempt, failure: StepFailure::NotSent, offset }
         };
-        self.after(CONNECT, Happening::Result { node, life, event });
+        self.schedule_after(CONNECT_TIMEOUT, SimEvent::StepResult { node, start_count, event });
     }
 
     fn poll(&mut self, node: usize, target: Target) {
         let endpoint = self.by_endpoint[&target.id];
         let (near, far) = (self.nodes[node].domain, self.engines[endpoint].domain);
-        let life = self.nodes[node].life;
-        if self.network.is_cut(Side::Domain(near), Side::Domain(far)) {
+        let start_count = self.nodes[node].start_count;
+        if self.network.is_partitioned(Side::Domain(near), Side::Domain(far)) {
             let event = Event::Unreported { endpoint: target.id };
-            return self.after(POLL, Happening::Result { node, life, event });
+            return self.schedule_after(POLL_TIMEOUT, SimEvent::StepResult { node, start_count, event });
         }
         let request =
             teaselshunt_core::RequestId { instance: self.nodes[node].id, incarnation: 0, sequence: 0 };
         let attempt = AttemptId { request, number: 0 };
-        let job = Job { node, life, ticket: Ticket(0), attempt, task: Task::Poll };
+        let job = Job { node, start_count, ticket: Ticket(0), attempt, task: Task::Poll };
         let delay = Network::delay(near, far, &mut self.rng);
-        self.after(delay, Happening::Reach { endpoint, job });
+        self.schedule_after(delay, SimEvent::StepArrival { endpoint, job });
     }
 
-    fn look_after(&mut self, node: usize, ticket: Ticket, after: Duration, stall: bool) {
-        let life = self.nodes[node].life;
-        let Some(number) = self.nodes[node].drivers.get(&ticket).map(|d| d.number) else {
+    fn schedule_timeout_check(
+        &mut self,
+        node: usize,
+        ticket: Ticket,
+        timeout: Duration,
+        is_stall_timeout: bool,
+    ) {
+        let start_count = self.nodes[node].start_count;
+        let Some(step_number) = self.nodes[node].drivers.get(&ticket).map(|d| d.step_number) else {
             return;
         };
-        self.after(after, Happening::Overdue { node, life, ticket, number, after, stall });
+        self.schedule_after(
+            timeout,
+            SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout },
+        );
     }
 
-    /// Looks whether a step is still the one in progress and has not moved for too long.
-    pub(super) fn overdue(
+    /// Fails a step if it is still in progress and has made no progress for its timeout.
+    pub(super) fn check_timeout(
         &mut self,
         node: usize,
-        life: u32,
+        start_count: u32,
         ticket: Ticket,
-        number: u32,
-        after: Duration,
-        stall: bool,
+        step_number: u32,
+        timeout: Duration,
+        is_stall_timeout: bool,
     ) {
         let now = self.now;
-        if self.nodes[node].life != life {
+        if self.nodes[node].start_count != start_count {
             return;
         }
-        let thawed = self.nodes[node].thawed;
+        let running_since = self.nodes[node].running_since;
         if self.nodes[node].frozen {
-            return self.after(after, Happening::Overdue { node, life, ticket, number, after, stall });
+            return self.schedule_after(
+                timeout,
+                SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout },
+            );
         }
         let Some(driver) = self.nodes[node].drivers.get(&ticket) else {
             return;
         };
-        let Some(attempt) = driver.attempt.filter(|_| driver.number == number) else {
+        let Some(attempt) = driver.attempt.filter(|_| driver.step_number == step_number) else {
             return;
         };
-        let idle = now.saturating_sub(driver.moved.max(thawed));
-        if idle < after {
-            let left = after.saturating_sub(idle);
-            return self.after(left, Happening::Overdue { node, life, ticket, number, after, stall });
+        let idle = now.saturating_sub(driver.last_progress.max(running_since));
+        if idle < timeout {
+            let remaining = timeout.saturating_sub(idle);
+            return self.schedule_after(
+                remaining,
+                SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout },
+            );
         }
-        let fault = if stall { StepFailure::Stalled } else { StepFailure::TimedOut };
+        let failure = if is_stall_timeout { StepFailure::Stalled } else { StepFailure::TimedOut };
         let offset = driver.offset;
-        self.result(node, life, Event::Failed { attempt, failure: fault, offset });
+        self.deliver_result(node, start_count, Event::Failed { attempt, failure, offset });
     }
 
-    /// Tokens that the caller of a job has.
+    /// Number of tokens that the caller of a job has received.
     pub(super) fn offset(&self, job: &Job) -> u32 {
         self.nodes[job.node].drivers.get(&job.ticket).map_or(0, |d| d.offset)
     }
 
-    /// Whether a stream's reader is still there and reads this very try.
-    pub(super) fn connected(&self, job: &Job) -> bool {
+    /// Whether the instance of a job is running and still processes this attempt.
+    pub(super) fn is_connected(&self, job: &Job) -> bool {
         let node = &self.nodes[job.node];
-        let driver = node.drivers.get(&job.ticket).filter(|_| node.life == job.life && !node.frozen);
+        let driver =
+            node.drivers.get(&job.ticket).filter(|_| node.start_count == job.start_count && !node.frozen);
         driver.is_some_and(|d| d.attempt == Some(job.attempt))
     }
 
-    /// Tokens arrive at a driver and go on to its caller.
-    pub(super) fn progress(&mut self, job: &Job, offset: u32) {
+    /// Records that the caller of a job has received tokens up to `offset`.
+    pub(super) fn record_progress(&mut self, job: &Job, offset: u32) {
         let now = self.now;
         if let Some(driver) = self.nodes[job.node].drivers.get_mut(&job.ticket) {
-            assert!(offset >= driver.offset, "a stream went back");
+            assert!(offset >= driver.offset, "the offset of a stream decreased");
             driver.offset = offset;
-            driver.moved = now;
+            driver.last_progress = now;
             let caller = driver.caller;
-            self.callers[caller].first.get_or_insert(now);
+            self.callers[caller].first_token_at.get_or_insert(now);
         }
     }
 
-    /// The result of a step passes a driver on its way to the core.
-    pub(super) fn note_result(&mut self, node: usize, event: &Event) {
+    /// Completes the request at its caller if `event` is the final result of its current attempt.
+    pub(super) fn observe_result(&mut self, node: usize, event: &Event) {
         let attempt = match event {
             Event::Finished { attempt, .. } | Event::Called { attempt, .. } => *attempt,
             _ => return,
         };
         let ticket = Ticket(attempt.request.sequence);
-        let current = self.nodes[node].drivers.get(&ticket).is_some_and(|d| d.attempt == Some(attempt));
-        if current && let Some(driver) = self.nodes[node].drivers.remove(&ticket) {
-            self.answered(driver.caller);
+        let is_current = self.nodes[node].drivers.get(&ticket).is_some_and(|d| d.attempt == Some(attempt));
+        if is_current && let Some(driver) = self.nodes[node].drivers.remove(&ticket) {
+            self.complete_request(driver.caller);
         }
     }
 
-    /// Work has reached an endpoint: it must not have been called not run, nor be new work of one that drains.
-    pub(super) fn note_work(&mut self, endpoint: usize, job: &Job) {
+    /// Checks new work at an endpoint: its request must not have been reported as not run, and the endpoint must
+    /// not be draining.
+    pub(super) fn check_new_work(&mut self, endpoint: usize, job: &Job) {
         let request = job.attempt.request;
-        self.reached.insert(request);
-        if self.not_run.contains(&request) {
-            let text = format!("{:?}: {request} was called not run, and ran", self.now);
+        self.reached_endpoint.insert(request);
+        if self.reported_not_run.contains(&request) {
+            let text = format!("{:?}: {request} was reported as not run, and ran later", self.now);
             self.tally.violations.push(text);
         }
         let Some(&since) = self.draining.get(&endpoint) else {
             return;
         };
-        if self.platform.down || self.platform.stale || self.network.any_cut() {
-            // The version may not be known here yet, through no fault of the system.
+        if self.platform.is_down || self.platform.is_stale || self.network.has_partition() {
+            // The instance may not be able to learn the version with the drain.
             return;
         }
-        let settled = since.max(self.disturbed).max(self.nodes[job.node].thawed) + SPREAD;
-        if self.now > settled {
-            let text = format!("{:?}: endpoint {endpoint} drains since {since:?} and got new work", self.now);
+        let is_known_by =
+            since.max(self.last_disturbance).max(self.nodes[job.node].running_since) + VERSION_SPREAD_TIME;
+        if self.now > is_known_by {
+            let text = format!(
+                "{:?}: endpoint {endpoint} has been draining since {since:?} and got new work",
+                self.now
+            );
             self.tally.violations.push(text);
         }
     }
 
+    /// Checks that nothing of a request that is refused as not run has reached an endpoint.
     fn check_refusal(&mut self, caller: usize, outcome: Outcome) {
-        let Some(request) = self.callers[caller].request.filter(|_| outcome == Outcome::NotRun) else {
+        let Some(request) = self.callers[caller].request_id.filter(|_| outcome == Outcome::NotRun) else {
             return;
         };
-        self.not_run.insert(request);
-        if self.reached.contains(&request) {
-            let text = format!("{:?}: {request} ran, and is called not run", self.now);
+        self.reported_not_run.insert(request);
+        if self.reached_endpoint.contains(&request) {
+            let text = format!("{:?}: {request} ran, and is reported as not run", self.now);
             self.tally.violations.push(text);
         }
     }
--- a/crates/bench/src/world/engine.rs
+++ b/crates/bench/src/world/engine.rs
@@ -1,4 +1,8 @@
-//! Models of prefill and decode engines and of plain services.
+//! Models of prefill engines, decode engines and plain services.
+//!
+//! A prefill engine runs one prefill at a time and keeps the KV cache for a limited time. A decode engine has
+//! slots and generates one token for every stream in each decode step. A slot that a failed instance leaves
+//! behind stays occupied until the work in it is cancelled.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,27 +11,27 @@
 use teaselshunt_core::{AttemptId, EndpointId, EngineLoad, Event, Running, StepFailure, Ticket};
 use teaselshunt_settings::Role;
 
-use super::crashes::RESTART;
+use super::crashes::RESTART_TIME;
 use super::network::{Network, Side};
-use super::{Deployment, Happening, Options, World};
+use super::{Deployment, Options, SimEvent, World};
 
-/// How long a prefill result is kept.
-const KEEP: Duration = Duration::from_millis(800);
-/// How long a service works on a call.
-const SERVICE: Duration = Duration::from_millis(20);
-/// Prefills that an engine takes on, running and waiting.
-const PREFILLS: usize = 12;
+/// Time for which a prefill engine keeps a KV cache.
+const KV_CACHE_TTL: Duration = Duration::from_millis(800);
+/// Processing time of a call at a service.
+const CALL_TIME: Duration = Duration::from_millis(20);
+/// Maximum number of waiting prefills of an engine; the running one is not counted.
+const QUEUE_LENGTH_MAX: usize = 12;
 
-/// How fast engines are.
+/// Speed of engines.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSpeed {
-    /// Prompt tokens prefilled a second, one prompt at a time.
+    /// Prompt tokens that are prefilled a second; prompts are prefilled one at a time.
     pub prefill_tokens_per_s: f64,
-    /// Time of a decode step with an empty batch.
+    /// Duration of a decode step with an empty batch.
     pub base_step: Duration,
-    /// Added for each stream of the batch.
+    /// Additional duration of a decode step for each stream of the batch.
     pub step_per_stream: Duration,
-    /// Bytes of KV cache for each prompt token.
+    /// Bytes of KV cache per prompt token.
     pub kv_token_bytes: u64,
 }
 
@@ -43,85 +47,92 @@
 }
 
 impl EngineSpeed {
-    /// Time of a decode step with `streams` streams.
+    /// Duration of a decode step with `streams` streams.
     pub fn decode_step(&self, streams: u32) -> Duration {
         self.base_step + self.step_per_stream * streams
     }
 }
 
-/// A step on its way to an endpoint, or at work there.
+/// A step of a request that is sent to an endpoint or in progress there.
 #[derive(Debug, Clone)]
 pub(super) struct Job {
     pub(super) node: usize,
-    pub(super) life: u32,
+    /// `start_count` of the node when the step was sent.
+    pub(super) start_count: u32,
     pub(super) ticket: Ticket,
     pub(super) attempt: AttemptId,
     pub(super) task: Task,
 }
 
+/// What an endpoint does in a step.
 #[derive(Debug, Clone)]
 pub(super) enum Task {
     Prefill { tokens: u32, priority: u8 },
-    Import { cache: AttemptId, origin: usize },
+    Import { cache_attempt: AttemptId, origin: usize },
     Decode { resume: Option<AttemptId>, offset: u32, length: u32 },
     Cancel,
     Poll,
-    Call { body: usize },
+    Call { caller: usize },
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedPrefill {
     job: Job,
     tokens: u32,
 }
 
 #[derive(Debug)]
-struct Cache {
+struct KvCache {
     tokens: u32,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug)]
 struct Stream {
     job: Job,
-    made: u32,
+    generated: u32,
     length: u32,
-    /// Tokens that the reader has.
-    read: u32,
-    /// Whether the connection was lost track of.
-    silent: bool,
+    /// Tokens that the instance has received.
+    delivered: u32,
+    /// Whether the connection to the instance is lost. The engine does not notice and goes on generating.
+    is_disconnected: bool,
 }
 
+/// What a slot of a decode engine is used for.
 #[derive(Debug)]
-enum Held {
-    /// A slot is kept for a transfer.
+enum SlotUse {
+    /// The slot is reserved while a KV cache is transferred.
     Incoming,
+    /// The KV cache has arrived and decoding has not started.
     Imported,
     Stream(Stream),
 }
 
-/// One endpoint.
+/// Model of one endpoint.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) id: EndpointId,
     pub(super) domain: usize,
     role: Role,
-    slots: usize,
-    /// Prefills by priority and arrival.
-    queue: BTreeMap<(u8, u64), Waiting>,
-    working: Option<(u64, Waiting)>,
-    number: u64,
-    caches: BTreeMap<AttemptId, Cache>,
-    held: BTreeMap<AttemptId, Held>,
-    stepping: bool,
-    /// Reports taken at their times, to be shown when they are old enough.
-    reports: VecDeque<(Duration, Vec<AttemptId>)>,
+    slot_count: usize,
+    /// Waiting prefills by priority and number.
+    queue: BTreeMap<(u8, u64), QueuedPrefill>,
+    /// The running prefill and its number; the number is `u64::MAX` if the prefill was cancelled.
+    running_prefill: Option<(u64, QueuedPrefill)>,
+    /// Number of the last prefill that was queued.
+    prefill_number: u64,
+    kv_caches: BTreeMap<AttemptId, KvCache>,
+    used_slots: BTreeMap<AttemptId, SlotUse>,
+    is_step_scheduled: bool,
+    /// Load reports by the time of their measurement. A poll returns the newest report that is at least
+    /// [`Options::report_lag`] old.
+    load_reports: VecDeque<(Duration, Vec<AttemptId>)>,
     pub(super) stalled: bool,
     pub(super) refusing: bool,
-    /// When it is back after a crash.
-    pub(super) back: Duration,
-    /// Streams started.
-    pub(super) started: u64,
+    /// When the process runs again after a crash.
+    pub(super) restart_end: Duration,
+    /// Number of streams that were started.
+    pub(super) streams_started: u64,
 }
 
 impl Engine {
@@ -132,87 +143,90 @@
             id: EndpointId::of(&e.name),
             domain: domain(&e.domain),
             role: e.role,
-            slots: e.slots as usize,
+            slot_count: e.slots as usize,
             queue: BTreeMap::new(),
-            working: None,
-            number: 0,
-            caches: BTreeMap::new(),
-            held: BTreeMap::new(),
-            stepping: false,
-            reports: VecDeque::new(),
+            running_prefill: None,
+            prefill_number: 0,
+            kv_caches: BTreeMap::new(),
+            used_slots: BTreeMap::new(),
+            is_step_scheduled: false,
+            load_reports: VecDeque::new(),
             stalled: false,
             refusing: false,
-            back: Duration::ZERO,
-            started: 0,
+            restart_end: Duration::ZERO,
+            streams_started: 0,
         });
         engines.collect()
     }
 
-    /// Tries that it holds memory for.
-    pub(super) fn holds(&self, now: Duration) -> Vec<AttemptId> {
-        let mut holds: Vec<AttemptId> = self.held.keys().copied().collect();
-        holds.extend(self.queue.values().map(|w| w.job.attempt));
-        holds.extend(self.working.iter().map(|(_, w)| w.job.attempt));
-        holds.extend(self.caches.iter().filter(|(_, c)| c.until > now).map(|(&a, _)| a));
-        holds
+    /// Attempts that occupy memory of the engine.
+    pub(super) fn held_attempts(&self, now: Duration) -> Vec<AttemptId> {
+        let mut attempts: Vec<AttemptId> = self.used_slots.keys().copied().collect();
+        attempts.extend(self.queue.values().map(|prefill| prefill.job.attempt));
+        attempts.extend(self.running_prefill.iter().map(|(_, prefill)| prefill.job.attempt));
+        attempts.extend(self.kv_caches.iter().filter(|(_, c)| c.expires_at > now).map(|(&a, _)| a));
+        attempts
     }
 
     fn cancel(&mut self, attempt: AttemptId) {
-        self.held.remove(&attempt);
-        self.caches.remove(&attempt);
-        self.queue.retain(|_, w| w.job.attempt != attempt);
-        // A prefill at work is not interrupted; its result is dropped when it ends.
-        if let Some((number, waiting)) = &mut self.working
-            && waiting.job.attempt == attempt
+        self.used_slots.remove(&attempt);
+        self.kv_caches.remove(&attempt);
+        self.queue.retain(|_, prefill| prefill.job.attempt != attempt);
+        // A running prefill is not interrupted; its KV cache is discarded when it ends.
+        if let Some((prefill_number, prefill)) = &mut self.running_prefill
+            && prefill.job.attempt == attempt
         {
-            *number = u64::MAX;
+            *prefill_number = u64::MAX;
         }
     }
 
-    /// Whether its process does not run.
+    /// Whether the process is not running.
     pub(super) fn is_down(&self, now: Duration) -> bool {
-        now < self.back
+        now < self.restart_end
     }
 
-    /// Ends its process; gives the steps whose connections break with it.
+    /// Ends the process and returns the steps whose connections break.
     pub(super) fn crash(&mut self, now: Duration) -> Vec<Job> {
-        self.back = now + RESTART;
-        let queued = std::mem::take(&mut self.queue).into_values().map(|waiting| waiting.job);
-        let working = self.working.take().map(|(_, waiting)| waiting.job);
-        let streams = std::mem::take(&mut self.held).into_values().filter_map(|held| match held {
-            Held::Stream(stream) => Some(stream.job),
-            Held::Incoming | Held::Imported => None,
-        });
-        self.caches.clear();
-        self.reports.clear();
-        queued.chain(working).chain(streams).collect()
+        self.restart_end = now + RESTART_TIME;
+        let queued = std::mem::take(&mut self.queue).into_values().map(|prefill| prefill.job);
+        let running_prefill = self.running_prefill.take().map(|(_, prefill)| prefill.job);
+        let streams =
+            std::mem::take(&mut self.used_slots).into_values().filter_map(|slot_use| match slot_use {
+                SlotUse::Stream(stream) => Some(stream.job),
+                SlotUse::Incoming | SlotUse::Imported => None,
+            });
+        self.kv_caches.clear();
+        self.load_reports.clear();
+        queued.chain(running_prefill).chain(streams).collect()
     }
 
     fn streams(&self) -> u32 {
-        self.held.values().filter(|h| matches!(h, Held::Stream(_))).count() as u32
+        self.used_slots.values().filter(|s| matches!(s, SlotUse::Stream(_))).count() as u32
     }
 
-    /// Loses track of the connections of all streams.
-    pub(super) fn silence(&mut self) {
-        for held in self.held.values_mut() {
-            if let Held::Stream(stream) = held {
-                stream.silent = true;
+    /// Disconnects all streams from their instances. The engine goes on generating.
+    pub(super) fn disconnect_streams(&mut self) {
+        for slot_use in self.used_slots.values_mut() {
+            if let SlotUse::Stream(stream) = slot_use {
+                stream.is_disconnected = true;
             }
         }
     }
 }
 
 impl World {
-    /// A step has arrived at an endpoint.
-    pub(super) fn reach(&mut self, endpoint: usize, job: Job) {
+    /// Handles the arrival of a step at an endpoint.
+    pub(super) fn receive_step(&mut self, endpoint: usize, job: Job) {
         if self.engines[endpoint].is_down(self.now) {
             return self.refuse_connection(endpoint, &job);
         }
         match job.task.clone() {
-            Task::Prefill { tokens, priority } => self.reach_prefill(endpoint, &job, tokens, priority),
-            Task::Import { cache, origin } => self.reach_import(endpoint, job, cache, origin),
+            Task::Prefill { tokens, priority } => self.receive_prefill(endpoint, &job, tokens, priority),
+            Task::Import { cache_attempt, origin } => {
+                self.receive_import(endpoint, job, cache_attempt, origin);
+            }
             Task::Decode { resume, offset, length } => {
-                self.reach_decode(endpoint, &job, resume, offset, length);
+                self.receive_decode(endpoint, &job, resume, offset, length);
             }
             Task::Cancel => {
                 self.engines[endpoint].cancel(job.attempt);
@@ -220,115 +234,121 @@
                 let event = Event::Cancelled { attempt: job.attempt, endpoint: id, confirmed: true };
                 self.reply(endpoint, &job, event);
             }
-            Task::Poll => self.reach_poll(endpoint, &job),
+            Task::Poll => self.receive_poll(endpoint, &job),
             Task::Call { .. } => {
-                self.note_work(endpoint, &job);
-                self.after(SERVICE, Happening::Served { endpoint, job });
+                self.check_new_work(endpoint, &job);
+                self.schedule_after(CALL_TIME, SimEvent::CallEnd { endpoint, job });
             }
         }
     }
 
-    pub(super) fn fail(&mut self, endpoint: usize, job: &Job, fault: StepFailure) {
+    pub(super) fn fail(&mut self, endpoint: usize, job: &Job, failure: StepFailure) {
         let offset = self.offset(job);
-        self.reply(endpoint, job, Event::Failed { attempt: job.attempt, failure: fault, offset });
+        self.reply(endpoint, job, Event::Failed { attempt: job.attempt, failure, offset });
     }
 
-    /// Sends an answer back, unless the way is cut.
+    /// Sends the result of a step to its instance. It is lost if the network is partitioned.
     pub(super) fn reply(&mut self, endpoint: usize, job: &Job, event: Event) {
         let (from, to) = (self.engines[endpoint].domain, self.nodes[job.node].domain);
-        if self.network.is_cut(Side::Domain(from), Side::Domain(to)) {
+        if self.network.is_partitioned(Side::Domain(from), Side::Domain(to)) {
             return;
         }
         let delay = Network::delay(from, to, &mut self.rng);
-        self.after(delay, Happening::Result { node: job.node, life: job.life, event });
+        self.schedule_after(
+            delay,
+            SimEvent::StepResult { node: job.node, start_count: job.start_count, event },
+        );
     }
 
-    fn reach_prefill(&mut self, endpoint: usize, job: &Job, tokens: u32, priority: u8) {
+    fn receive_prefill(&mut self, endpoint: usize, job: &Job, tokens: u32, priority: u8) {
         let engine = &mut self.engines[endpoint];
-        if engine.refusing || engine.queue.len() >= PREFILLS {
+        if engine.refusing || engine.queue.len() >= QUEUE_LENGTH_MAX {
             return self.fail(endpoint, job, StepFailure::Busy);
         }
-        engine.number += 1;
-        engine.queue.insert((priority, engine.number), Waiting { job: job.clone(), tokens });
-        self.note_work(endpoint, job);
-        self.next_prefill(endpoint);
+        engine.prefill_number += 1;
+        engine.queue.insert((priority, engine.prefill_number), QueuedPrefill { job: job.clone(), tokens });
+        self.check_new_work(endpoint, job);
+        self.start_prefill(endpoint);
     }
 
-    fn next_prefill(&mut self, endpoint: usize) {
+    fn start_prefill(&mut self, endpoint: usize) {
         let engine = &mut self.engines[endpoint];
-        if engine.working.is_some() || engine.stalled {
+        if engine.running_prefill.is_some() || engine.stalled {
             return;
         }
-        let Some(((_, number), waiting)) = engine.queue.pop_first() else {
+        let Some(((_, prefill_number), prefill)) = engine.queue.pop_first() else {
             return;
         };
         let took =
-            Duration::from_secs_f64(f64::from(waiting.tokens) / self.options.speed.prefill_tokens_per_s);
-        self.tally.prefilled_tokens += u64::from(waiting.tokens);
-        engine.working = Some((number, waiting));
-        self.after(took, Happening::PrefillEnd { endpoint, number });
+            Duration::from_secs_f64(f64::from(prefill.tokens) / self.options.speed.prefill_tokens_per_s);
+        self.tally.prefilled_tokens += u64::from(prefill.tokens);
+        engine.running_prefill = Some((prefill_number, prefill));
+        self.schedule_after(took, SimEvent::PrefillEnd { endpoint, number: prefill_number });
     }
 
-    pub(super) fn prefill_end(&mut self, endpoint: usize, number: u64) {
+    pub(super) fn finish_prefill(&mut self, endpoint: usize, prefill_number: u64) {
         let now = self.now;
         let engine = &mut self.engines[endpoint];
         if engine.stalled {
             return;
         }
-        let Some((current, waiting)) = engine.working.take() else {
+        let Some((current, prefill)) = engine.running_prefill.take() else {
             return;
         };
-        if current == number {
-            let attempt = waiting.job.attempt;
-            engine.caches.insert(attempt, Cache { tokens: waiting.tokens, until: now + KEEP });
-            let bytes = u64::from(waiting.tokens) * self.options.speed.kv_token_bytes;
-            self.reply(endpoint, &waiting.job, Event::Prefilled { attempt, bytes, cached: 0 });
+        if current == prefill_number {
+            let attempt = prefill.job.attempt;
+            engine
+                .kv_caches
+                .insert(attempt, KvCache { tokens: prefill.tokens, expires_at: now + KV_CACHE_TTL });
+            let bytes = u64::from(prefill.tokens) * self.options.speed.kv_token_bytes;
+            self.reply(endpoint, &prefill.job, Event::Prefilled { attempt, bytes, cached: 0 });
         } else if current != u64::MAX {
-            // The end of an earlier one; this one is still at work.
-            engine.working = Some((current, waiting));
+            // The event belongs to an earlier prefill; this one is still running.
+            engine.running_prefill = Some((current, prefill));
             return;
         }
-        self.next_prefill(endpoint);
+        self.start_prefill(endpoint);
     }
 
-    fn reach_import(&mut self, endpoint: usize, job: Job, cache: AttemptId, origin: usize) {
+    fn receive_import(&mut self, endpoint: usize, job: Job, cache_attempt: AttemptId, origin: usize) {
         let engine = &mut self.engines[endpoint];
-        if engine.refusing || engine.held.len() >= engine.slots {
+        if engine.refusing || engine.used_slots.len() >= engine.slot_count {
             return self.fail(endpoint, &job, StepFailure::Busy);
         }
-        engine.held.insert(job.attempt, Held::Incoming);
-        self.note_work(endpoint, &job);
+        engine.used_slots.insert(job.attempt, SlotUse::Incoming);
+        self.check_new_work(endpoint, &job);
         let (from, to) = (self.engines[origin].domain, self.engines[endpoint].domain);
-        let cut = self.network.is_cut(Side::Domain(from), Side::Domain(to));
-        let held = self.engines[origin].caches.get(&cache).filter(|c| c.until > self.now);
-        let Some(held) = held.filter(|_| !cut) else {
-            self.engines[endpoint].held.remove(&job.attempt);
+        let partitioned = self.network.is_partitioned(Side::Domain(from), Side::Domain(to));
+        let kv_cache = self.engines[origin].kv_caches.get(&cache_attempt).filter(|c| c.expires_at > self.now);
+        let Some(kv_cache) = kv_cache.filter(|_| !partitioned) else {
+            self.engines[endpoint].used_slots.remove(&job.attempt);
             return self.fail(endpoint, &job, StepFailure::Evicted);
         };
-        let bytes = u64::from(held.tokens) * self.options.speed.kv_token_bytes;
+        let bytes = u64::from(kv_cache.tokens) * self.options.speed.kv_token_bytes;
         let at = self.network.transfer(self.now, from, to, bytes);
-        self.put(at, Happening::Moved { endpoint, job, origin });
+        self.schedule_at(at, SimEvent::TransferEnd { endpoint, job, origin });
     }
 
-    pub(super) fn moved(&mut self, endpoint: usize, job: &Job, origin: usize) {
-        let Task::Import { cache, .. } = job.task else {
+    pub(super) fn finish_transfer(&mut self, endpoint: usize, job: &Job, origin: usize) {
+        let Task::Import { cache_attempt, .. } = job.task else {
             return;
         };
         let now = self.now;
-        let kept = self.engines[origin].caches.remove(&cache).is_some_and(|c| c.until > now);
+        let is_cached =
+            self.engines[origin].kv_caches.remove(&cache_attempt).is_some_and(|c| c.expires_at > now);
         let engine = &mut self.engines[endpoint];
-        if engine.stalled || !engine.held.contains_key(&job.attempt) {
+        if engine.stalled || !engine.used_slots.contains_key(&job.attempt) {
             return;
         }
-        if !kept {
-            engine.held.remove(&job.attempt);
+        if !is_cached {
+            engine.used_slots.remove(&job.attempt);
             return self.fail(endpoint, job, StepFailure::Evicted);
         }
-        engine.held.insert(job.attempt, Held::Imported);
+        engine.used_slots.insert(job.attempt, SlotUse::Imported);
         self.reply(endpoint, job, Event::Imported { attempt: job.attempt });
     }
 
-    fn reach_decode(
+    fn receive_decode(
         &mut self,
         endpoint: usize,
         job: &Job,
@@ -337,120 +357,127 @@
         length: u32,
     ) {
         let engine = &mut self.engines[endpoint];
-        let begun = match resume {
-            Some(old) => match engine.held.remove(&old) {
-                Some(Held::Stream(stream)) => {
-                    let stream = Stream { job: job.clone(), read: offset, silent: false, ..stream };
-                    engine.held.insert(job.attempt, Held::Stream(stream));
+        let has_begun = match resume {
+            Some(old) => match engine.used_slots.remove(&old) {
+                Some(SlotUse::Stream(stream)) => {
+                    let stream =
+                        Stream { job: job.clone(), delivered: offset, is_disconnected: false, ..stream };
+                    engine.used_slots.insert(job.attempt, SlotUse::Stream(stream));
                     true
                 }
                 _ => false,
             },
-            None => match engine.held.get_mut(&job.attempt) {
-                Some(held @ Held::Imported) => {
-                    let made = offset;
-                    let stream = Stream { job: job.clone(), made, length, read: offset, silent: false };
-                    *held = Held::Stream(stream);
-                    engine.started += 1;
+            None => match engine.used_slots.get_mut(&job.attempt) {
+                Some(slot_use @ SlotUse::Imported) => {
+                    let generated = offset;
+                    let stream = Stream {
+                        job: job.clone(),
+                        generated,
+                        length,
+                        delivered: offset,
+                        is_disconnected: false,
+                    };
+                    *slot_use = SlotUse::Stream(stream);
+                    engine.streams_started += 1;
                     true
                 }
                 _ => false,
             },
         };
-        if !begun {
+        if !has_begun {
             return self.fail(endpoint, job, StepFailure::Evicted);
         }
-        if self.is_deadly(job) {
+        if self.crashes_engine(job) {
             return self.crash(endpoint, job);
         }
-        self.arm_decode(endpoint);
+        self.schedule_decode_step(endpoint);
     }
 
-    pub(super) fn arm_decode(&mut self, endpoint: usize) {
+    pub(super) fn schedule_decode_step(&mut self, endpoint: usize) {
         let engine = &mut self.engines[endpoint];
         let streams = engine.streams();
-        if engine.stepping || engine.stalled || streams == 0 {
+        if engine.is_step_scheduled || engine.stalled || streams == 0 {
             return;
         }
-        engine.stepping = true;
+        engine.is_step_scheduled = true;
         let step = self.options.speed.decode_step(streams);
-        self.after(step, Happening::DecodeStep { endpoint });
+        self.schedule_after(step, SimEvent::DecodeStep { endpoint });
     }
 
-    pub(super) fn decode_step(&mut self, endpoint: usize) {
+    pub(super) fn run_decode_step(&mut self, endpoint: usize) {
         let engine = &mut self.engines[endpoint];
-        engine.stepping = false;
+        engine.is_step_scheduled = false;
         if engine.stalled {
             return;
         }
-        let attempts: Vec<AttemptId> = engine.held.keys().copied().collect();
+        let attempts: Vec<AttemptId> = engine.used_slots.keys().copied().collect();
         for attempt in attempts {
-            self.advance(endpoint, attempt);
+            self.generate_token(endpoint, attempt);
         }
-        self.arm_decode(endpoint);
+        self.schedule_decode_step(endpoint);
     }
 
-    /// One more token of a stream; whatever its reader can get, it gets.
-    fn advance(&mut self, endpoint: usize, attempt: AttemptId) {
-        let Some(Held::Stream(stream)) = self.engines[endpoint].held.get_mut(&attempt) else {
+    /// Generates the next token of a stream, and delivers all tokens that its instance does not have yet.
+    fn generate_token(&mut self, endpoint: usize, attempt: AttemptId) {
+        let Some(SlotUse::Stream(stream)) = self.engines[endpoint].used_slots.get_mut(&attempt) else {
             return;
         };
-        stream.made = (stream.made + 1).min(stream.length);
-        let (job, made, length) = (stream.job.clone(), stream.made, stream.length);
+        stream.generated = (stream.generated + 1).min(stream.length);
+        let (job, generated, length) = (stream.job.clone(), stream.generated, stream.length);
         let (from, to) = (self.engines[endpoint].domain, self.nodes[job.node].domain);
-        let cut = self.network.is_cut(Side::Domain(from), Side::Domain(to));
-        let open = self.connected(&job);
-        let Some(Held::Stream(stream)) = self.engines[endpoint].held.get_mut(&attempt) else {
+        let partitioned = self.network.is_partitioned(Side::Domain(from), Side::Domain(to));
+        let is_open = self.is_connected(&job);
+        let Some(SlotUse::Stream(stream)) = self.engines[endpoint].used_slots.get_mut(&attempt) else {
             return;
         };
-        if cut {
-            // What was on the way is lost with the connection.
-            stream.silent = true;
+        if partitioned {
+            // The connection breaks, and tokens that are in transit are lost.
+            stream.is_disconnected = true;
         }
-        if stream.silent || !open {
+        if stream.is_disconnected || !is_open {
             return;
         }
-        let first = stream.read == 0;
-        stream.read = made;
-        let done = made >= length;
+        let first = stream.delivered == 0;
+        stream.delivered = generated;
+        let done = generated >= length;
         if done {
-            self.engines[endpoint].held.remove(&attempt);
+            self.engines[endpoint].used_slots.remove(&attempt);
         }
-        self.progress(&job, made);
+        self.record_progress(&job, generated);
         let event = if done {
-            Event::Finished { attempt, offset: made, stored: None }
+            Event::Finished { attempt, offset: generated, stored: None }
         } else if first {
-            Event::Advanced { attempt, offset: made }
+            Event::Advanced { attempt, offset: generated }
         } else {
             return;
         };
         self.reply(endpoint, &job, event);
     }
 
-    fn reach_poll(&mut self, endpoint: usize, job: &Job) {
+    fn receive_poll(&mut self, endpoint: usize, job: &Job) {
         let now = self.now;
         let engine = &mut self.engines[endpoint];
-        let holds = engine.holds(now);
-        engine.reports.push_back((now, holds));
+        let attempts = engine.held_attempts(now);
+        engine.load_reports.push_back((now, attempts));
         let lag = self.options.report_lag;
-        while engine.reports.len() > 1 && engine.reports[1].0 + lag <= now {
-            engine.reports.pop_front();
+        while engine.load_reports.len() > 1 && engine.load_reports[1].0 + lag <= now {
+            engine.load_reports.pop_front();
         }
-        let shown = engine.reports.front().filter(|(at, _)| *at + lag <= now);
-        let running = shown.map_or(Vec::new(), |(_, attempts)| attempts.clone());
+        let report = engine.load_reports.front().filter(|(at, _)| *at + lag <= now);
+        let running = report.map_or(Vec::new(), |(_, attempts)| attempts.clone());
         let running = running.into_iter().map(|attempt| Running { attempt }).collect();
         let report = EngineLoad { running, waiting: engine.queue.len() as u32, leaving: false };
         let event = Event::Reported { endpoint: engine.id, report };
         self.reply(endpoint, job, event);
     }
 
-    pub(super) fn served(&mut self, endpoint: usize, job: &Job) {
-        let Task::Call { body } = job.task else {
+    pub(super) fn finish_call(&mut self, endpoint: usize, job: &Job) {
+        let Task::Call { caller } = job.task else {
             return;
         };
-        self.callers[body].ran += 1;
-        if self.callers[body].ran > 1 && !self.callers[body].asked.idempotent {
-            let text = format!("{:?}: a call that may not be repeated ran twice, {}", self.now, job.attempt);
+        self.callers[caller].executions += 1;
+        if self.callers[caller].executions > 1 && !self.callers[caller].spec.idempotent {
+            let text = format!("{:?}: a non-idempotent call ran twice, {}", self.now, job.attempt);
             self.tally.violations.push(text);
         }
         let stored =
@@ -461,20 +488,23 @@
         self.reply(endpoint, job, Event::Called { attempt: job.attempt, stored: Some(stored) });
     }
 
-    /// A stalled engine goes on.
-    pub(super) fn unstall(&mut self, endpoint: usize) {
+    /// Ends the stall of an engine, which then continues its work.
+    pub(super) fn end_stall(&mut self, endpoint: usize) {
         self.engines[endpoint].stalled = false;
-        if let Some((number, _)) = &self.engines[endpoint].working {
-            let number = *number;
-            self.after(Duration::from_millis(10), Happening::PrefillEnd { endpoint, number });
+        if let Some((prefill_number, _)) = &self.engines[endpoint].running_prefill {
+            let prefill_number = *prefill_number;
+            self.schedule_after(
+                Duration::from_millis(10),
+                SimEvent::PrefillEnd { endpoint, number: prefill_number },
+            );
         }
-        self.next_prefill(endpoint);
-        self.arm_decode(endpoint);
+        self.start_prefill(endpoint);
+        self.schedule_decode_step(endpoint);
     }
 
     pub(super) fn random_endpoint(&mut self, role: Role) -> Option<usize> {
-        let fitting: Vec<usize> =
+        let candidates: Vec<usize> =
             self.engines.iter().enumerate().filter(|(_, e)| e.role == role).map(|(i, _)| i).collect();
-        (!fitting.is_empty()).then(|| fitting[self.rng.random_range(0..fitting.len())])
+        (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())])
     }
 }
--- a/crates/bench/src/world/faults.rs
+++ b/crates/bench/src/world/faults.rs
@@ -1,92 +1,94 @@
-//! What breaks, and how it heals.
+//! Faults and their repair.
 
 use rand::Rng;
 use teaselshunt_core::Event;
 use teaselshunt_settings::{EndpointState, Role};
 
 use super::network::Side;
-use super::{Happening, World};
+use super::{SimEvent, World};
 
-/// Something that breaks or heals. Numbers are taken modulo what there is, so that any number is meaningful.
+/// A fault or a repair. Numbers of instances, endpoints and domains are taken modulo their count, so that
+/// every number is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An instance's process ends on the spot.
+    /// An instance is killed.
     Kill(usize),
-    /// An ended process is started again under its name.
+    /// An instance that is not running is started again under its name.
     Start(usize),
-    /// An instance is told to stop, and is started again when it has.
+    /// An instance begins a graceful shutdown. It stays down until [`Fault::Start`] or [`Fault::HealAll`].
     Stop(usize),
-    /// An instance's process stands still.
+    /// An instance's process freezes.
     Freeze(usize),
-    /// It goes on.
+    /// A frozen process resumes.
     Thaw(usize),
-    /// Two sides cannot reach each other.
+    /// Two sides are partitioned from each other.
     Cut(Side, Side),
-    /// They can again.
+    /// The partition of two sides ends.
     Mend(Side, Side),
-    /// The platform answers nothing.
+    /// The platform stops answering.
     Outage,
-    /// It answers again.
+    /// The platform answers again.
     OutageEnd,
-    /// The platform's reads come from a replica that lags.
+    /// The platform's reads are answered by a replica that lags.
     Stale,
-    /// They do not.
+    /// The platform's reads are up to date again.
     StaleEnd,
-    /// An endpoint makes no progress.
+    /// An endpoint stalls: it accepts steps and completes none.
     Stall(usize),
-    /// It goes on.
+    /// The stall of an endpoint ends.
     StallEnd(usize),
     /// An endpoint refuses new work as busy.
     Refuse(usize),
-    /// It does not.
+    /// The endpoint accepts new work again.
     RefuseEnd(usize),
-    /// The connections of a decode engine's streams are lost track of.
+    /// The streams of a decode engine lose the connections to their instances, and the engine does not notice.
     Silence(usize),
-    /// A caller sends one of two requests that crash every engine which begins to generate for them.
+    /// A caller submits one of two requests that crash every engine that starts to generate for them.
     Deadly(usize),
-    /// An operator drains an endpoint by a patch.
+    /// An operator drains an endpoint by a patch of the configuration.
     Drain(usize),
-    /// An operator takes it back.
+    /// An operator ends the draining of an endpoint.
     Undrain(usize),
-    /// An operator moves the sites' shares: the first site gets this share of 100.
+    /// An operator changes the shares of the sites. The first site gets this number of 100, and every other
+    /// site gets the rest.
     Share(u32),
-    /// Everything heals.
+    /// All faults end, and every instance that is not running is started.
     HealAll,
 }
 
 impl World {
-    fn node_of(&self, number: usize) -> usize {
+    fn node_index(&self, number: usize) -> usize {
         number % self.nodes.len()
     }
 
-    fn side_of(&self, side: Side) -> Side {
+    fn known_side(&self, side: Side) -> Side {
         match side {
-            Side::Domain(number) => Side::Domain(number % self.network.count()),
+            Side::Domain(number) => Side::Domain(number % self.network.domain_count()),
             Side::Platform => Side::Platform,
         }
     }
 
-    pub(super) fn break_or_heal(&mut self, fault: Fault) {
-        self.disturbed = self.now;
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
+        self.last_disturbance = self.now;
         let endpoints = self.engines.len();
         match fault {
-            Fault::Kill(n) => self.kill(self.node_of(n)),
-            Fault::Start(n) => self.start(self.node_of(n)),
-            Fault::Stop(n) => self.stop(self.node_of(n)),
-            Fault::Freeze(n) => self.freeze(self.node_of(n)),
-            Fault::Thaw(n) => self.thaw(self.node_of(n)),
-            Fault::Cut(a, b) => self.cut(a, b, true),
-            Fault::Mend(a, b) => self.cut(a, b, false),
-            Fault::Outage => self.platform.down = true,
-            Fault::OutageEnd => self.platform.down = false,
-            Fault::Stale => self.platform.stale = true,
-            Fault::StaleEnd => self.platform.stale = false,
+            Fault::Kill(n) => self.kill(self.node_index(n)),
+            Fault::Start(n) => self.start(self.node_index(n)),
+            Fault::Stop(n) => self.stop(self.node_index(n)),
+            Fault::Freeze(n) => self.freeze(self.node_index(n)),
+            Fault::Thaw(n) => self.unfreeze(self.node_index(n)),
+            Fault::Cut(a, b) => self.set_partitioned(a, b, true),
+            Fault::Mend(a, b) => self.set_partitioned(a, b, false),
+            Fault::Outage => self.platform.is_down = true,
+            Fault::OutageEnd => self.platform.is_down = false,
+            Fault::Stale => self.platform.is_stale = true,
+            Fault::StaleEnd => self.platform.is_stale = false,
             Fault::Stall(n) => self.engines[n % endpoints].stalled = true,
-            Fault::StallEnd(n) => self.unstall(n % endpoints),
+            Fault::StallEnd(n) => self.end_stall(n % endpoints),
             Fault::Refuse(n) => self.engines[n % endpoints].refusing = true,
             Fault::RefuseEnd(n) => self.engines[n % endpoints].refusing = false,
-            Fault::Silence(n) => self.engines[n % endpoints].silence(),
-            Fault::Deadly(n) => self.ask_deadly(n % 2),
+            Fault::Silence(n) => self.engines[n % endpoints].disconnect_streams(),
+            Fault::Deadly(n) => self.schedule_crashing_request(n % 2),
             Fault::Drain(n) => self.drain(n % endpoints, true),
             Fault::Undrain(n) => self.drain(n % endpoints, false),
             Fault::Share(share) => self.publish(|c| {
@@ -99,31 +101,31 @@
         }
     }
 
-    fn cut(&mut self, a: Side, b: Side, cut: bool) {
-        self.network.set_cut(self.side_of(a), self.side_of(b), cut);
+    fn set_partitioned(&mut self, a: Side, b: Side, partitioned: bool) {
+        self.network.set_partitioned(self.known_side(a), self.known_side(b), partitioned);
         let lag = self.options.list_lag;
-        self.after(lag, Happening::Relist);
+        self.schedule_after(lag, SimEvent::ListUpdate);
     }
 
     fn start(&mut self, node: usize) {
-        if !self.nodes[node].alive() {
-            self.boot(node);
+        if !self.nodes[node].is_running() {
+            self.start_process(node);
             let lag = self.options.list_lag;
-            self.after(lag, Happening::Relist);
+            self.schedule_after(lag, SimEvent::ListUpdate);
         }
     }
 
     fn stop(&mut self, node: usize) {
-        if self.nodes[node].alive() {
+        if self.nodes[node].is_running() {
             self.nodes[node].leaving = true;
             let lag = self.options.list_lag;
-            self.after(lag, Happening::Relist);
+            self.schedule_after(lag, SimEvent::ListUpdate);
             self.step(node, Event::Stop);
         }
     }
 
-    /// Drains one endpoint, never the last active one of its kind: what then remains to be served is the
-    /// operators' choice, not the router's.
+    /// Drains an endpoint or ends its draining. Only one endpoint drains at a time, to keep endpoints of every
+    /// kind active: what is served without them is the operators' decision and not the router's.
     fn drain(&mut self, endpoint: usize, drain: bool) {
         if drain && !self.draining.is_empty() {
             return;
@@ -138,24 +140,24 @@
     }
 
     pub(super) fn heal_all(&mut self) {
-        self.disturbed = self.now;
+        self.last_disturbance = self.now;
         self.network.heal();
-        self.platform.down = false;
-        self.platform.stale = false;
+        self.platform.is_down = false;
+        self.platform.is_stale = false;
         for endpoint in 0..self.engines.len() {
             self.engines[endpoint].refusing = false;
-            self.unstall(endpoint);
+            self.end_stall(endpoint);
         }
         for node in 0..self.nodes.len() {
-            self.thaw(node);
+            self.unfreeze(node);
             self.start(node);
         }
-        self.after(self.options.list_lag, Happening::Relist);
+        self.schedule_after(self.options.list_lag, SimEvent::ListUpdate);
     }
 
-    /// A random decode engine, for faults that need one.
+    /// A random decode endpoint, for faults that need one.
     pub fn random_decode_endpoint(&mut self) -> usize {
-        let found = self.random_endpoint(Role::Decode);
-        found.unwrap_or_else(|| self.rng.random_range(0..self.engines.len()))
+        let endpoint = self.random_endpoint(Role::Decode);
+        endpoint.unwrap_or_else(|| self.rng.random_range(0..self.engines.len()))
     }
 }
--- a/crates/bench/src/world/mod.rs
+++ b/crates/bench/src/world/mod.rs
@@ -1,4 +1,10 @@
-//! The world: a queue of happenings in virtual time, and what they happen to.
+//! Discrete-event simulation of a deployment in virtual time.
+//!
+//! A [`World`] handles simulation events in the order of their times; events at the same time are handled in
+//! the order in which they were scheduled. Handling an event changes the modelled parts (processes of
+//! instances, endpoints, callers, the network and the platform) and schedules further events. Virtual time and
+//! the random generator are the only inputs besides the deployment and the options, so that a seed determines
+//! the run.
 
 mod callers;
 mod crashes;
@@ -33,18 +39,18 @@
 use node::Node;
 use platform::Platform;
 
-/// How a world is set up.
+/// Options of a simulation.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything random.
+    /// Seed of all random draws.
     pub seed: u64,
     /// How instances choose endpoints.
     pub placement: Placement,
     /// Speed of the engines.
     pub speed: EngineSpeed,
-    /// Age of load reports.
+    /// Minimum age of the load reports that engines return.
     pub report_lag: Duration,
-    /// How long the platform's list takes to notice a death.
+    /// Time after which the platform's list reflects a change of an instance's process or of the network.
     pub list_lag: Duration,
 }
 
@@ -60,48 +66,57 @@
     }
 }
 
-/// Something that happens at a time.
+/// An entry of the event queue.
 #[derive(Debug)]
-enum Happening {
-    /// An instance's clock ticks.
-    Tick { node: usize, life: u32 },
-    /// The result of something that an instance did reaches it.
-    Result { node: usize, life: u32, event: Event },
+enum SimEvent {
+    /// The periodic tick of an instance is due.
+    Tick { node: usize, start_count: u32 },
+    /// The result of an effect reaches its instance.
+    StepResult { node: usize, start_count: u32, event: Event },
     /// A message reaches an instance.
     Message { node: usize, from: InstanceId, message: Message },
-    /// An instance's watch of the platform answers.
-    Watch { node: usize, life: u32 },
-    /// A step reaches an endpoint.
-    Reach { endpoint: usize, job: Job },
-    /// A prefill engine ends the prefill that it works on.
+    /// The watch of an instance reads the platform.
+    PlatformRead { node: usize, start_count: u32 },
+    /// A step arrives at an endpoint.
+    StepArrival { endpoint: usize, job: Job },
+    /// A prefill engine completes its running prefill.
     PrefillEnd { endpoint: usize, number: u64 },
-    /// A decode engine gives every stream its next token.
+    /// A decode engine generates the next token of every stream.
     DecodeStep { endpoint: usize },
-    /// A transfer has arrived at a decode engine.
-    Moved { endpoint: usize, job: Job, origin: usize },
-    /// A service has done a call.
-    Served { endpoint: usize, job: Job },
-    /// An instance looks whether a step has made progress.
-    Overdue { node: usize, life: u32, ticket: Ticket, number: u32, after: Duration, stall: bool },
-    /// A caller sends its request, again or for the first time.
-    Send { caller: usize },
-    /// A caller loses patience.
-    Abandon { caller: usize, life: u32, node: usize, ticket: Ticket },
-    /// Something breaks or heals.
+    /// The transfer of a KV cache to a decode engine is complete.
+    TransferEnd { endpoint: usize, job: Job, origin: usize },
+    /// A service completes a call.
+    CallEnd { endpoint: usize, job: Job },
+    /// An instance checks whether a step has made progress.
+    TimeoutCheck {
+        node: usize,
+        start_count: u32,
+        ticket: Ticket,
+        step_number: u32,
+        timeout: Duration,
+        is_stall_timeout: bool,
+    },
+    /// A caller submits its request, for the first time or as a retry.
+    Submit { caller: usize },
+    /// A caller disconnects before its response is complete.
+    Abandon { caller: usize, start_count: u32, node: usize, ticket: Ticket },
+    /// A fault occurs or ends.
     Fault(Fault),
-    /// The platform's list catches up with the instances.
-    Relist,
+    /// The platform updates its instance list.
+    ListUpdate,
 }
 
+/// A simulation event and its position in the queue.
 struct Scheduled {
     at: Duration,
-    order: u64,
-    happening: Happening,
+    /// Number in the order of scheduling.
+    sequence: u64,
+    sim_event: SimEvent,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -115,16 +130,16 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// Instances, endpoints, callers and the platform, in virtual time.
+/// A simulated deployment: instances, endpoints, callers and the platform in virtual time.
 pub struct World {
     base: Instant,
     now: Duration,
     queue: BinaryHeap<Reverse<Scheduled>>,
-    order: u64,
+    sequence: u64,
     rng: SmallRng,
     options: Options,
     deployment: Deployment,
@@ -135,16 +150,16 @@
     network: Network,
     platform: Platform,
     callers: Vec<Caller>,
-    /// Requests of which something reached an endpoint.
-    reached: HashSet<RequestId>,
-    /// Requests that were called not run.
-    not_run: HashSet<RequestId>,
-    /// Crashes by the request that caused them.
+    /// Requests whose steps have reached an endpoint.
+    reached_endpoint: HashSet<RequestId>,
+    /// Requests that were refused with the outcome "not run".
+    reported_not_run: HashSet<RequestId>,
+    /// Crashes of engines by the request that caused them.
     crashes: HashMap<Fingerprint, Crashes>,
-    /// Endpoints that drain, and since when.
+    /// Draining endpoints with the time at which the drain was published.
     draining: BTreeMap<usize, Duration>,
-    /// When something last broke or healed.
-    disturbed: Duration,
+    /// Time of the last fault or repair.
+    last_disturbance: Duration,
     tally: Tally,
 }
 
@@ -164,7 +179,7 @@
             base,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             rng: SmallRng::seed_from_u64(options.seed),
             nodes: Vec::new(),
             by_instance: HashMap::new(),
@@ -173,25 +188,25 @@
             network: Network::new(&deployment),
             platform: Platform::new(&deployment),
             callers: Vec::new(),
-            reached: HashSet::new(),
-            not_run: HashSet::new(),
+            reached_endpoint: HashSet::new(),
+            reported_not_run: HashSet::new(),
             crashes: HashMap::new(),
             draining: BTreeMap::new(),
-            disturbed: Duration::ZERO,
+            last_disturbance: Duration::ZERO,
             tally: Tally::default(),
             options,
             deployment,
         };
         for index in 0..world.deployment.instances.len() {
-            world.boot(index);
+            world.start_process(index);
         }
         world
     }
 
-    /// Whether every instance that lives has the latest version in force.
+    /// Whether the latest configuration version is active at every running instance.
     pub fn has_converged(&self) -> bool {
         let latest = self.platform.latest().version;
-        (0..self.nodes.len()).all(|i| self.version(i).is_none_or(|v| v == latest))
+        (0..self.nodes.len()).all(|i| self.active_version(i).is_none_or(|v| v == latest))
     }
 
     /// Virtual time since the start.
@@ -199,17 +214,17 @@
         self.now
     }
 
-    /// What was counted so far.
+    /// Results so far.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Puts a fault at a time.
+    /// Schedules a fault or a repair.
     pub fn schedule(&mut self, at: Duration, fault: Fault) {
-        self.put(at, Happening::Fault(fault));
+        self.schedule_at(at, SimEvent::Fault(fault));
     }
 
-    /// Runs until a time.
+    /// Handles all events up to a virtual time.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > until {
@@ -220,45 +235,49 @@
             };
             self.now = next.at;
             self.tally.sim_events += 1;
-            self.happen(next.happening);
+            self.handle(next.sim_event);
         }
         self.now = until;
     }
 
-    fn put(&mut self, at: Duration, happening: Happening) {
+    fn schedule_at(&mut self, at: Duration, sim_event: SimEvent) {
         let at = at.max(self.now);
-        self.order += 1;
-        self.queue.push(Reverse(Scheduled { at, order: self.order, happening }));
+        self.sequence += 1;
+        self.queue.push(Reverse(Scheduled { at, sequence: self.sequence, sim_event }));
     }
 
-    fn after(&mut self, delay: Duration, happening: Happening) {
-        self.put(self.now + delay, happening);
+    fn schedule_after(&mut self, delay: Duration, sim_event: SimEvent) {
+        self.schedule_at(self.now + delay, sim_event);
     }
 
     fn instant(&self) -> Instant {
         self.base + self.now
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick { node, life } => self.tick(node, life),
-            Happening::Result { node, life, event } => self.result(node, life, event),
-            Happening::Message { node, from, message } => {
+    fn handle(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Tick { node, start_count } => self.tick(node, start_count),
+            SimEvent::StepResult { node, start_count, event } => {
+                self.deliver_result(node, start_count, event);
+            }
+            SimEvent::Message { node, from, message } => {
                 self.step(node, Event::Received { from, message });
             }
-            Happening::Watch { node, life } => self.watch(node, life),
-            Happening::Reach { endpoint, job } => self.reach(endpoint, job),
-            Happening::PrefillEnd { endpoint, number } => self.prefill_end(endpoint, number),
-            Happening::DecodeStep { endpoint } => self.decode_step(endpoint),
-            Happening::Moved { endpoint, job, origin } => self.moved(endpoint, &job, origin),
-            Happening::Served { endpoint, job } => self.served(endpoint, &job),
-            Happening::Overdue { node, life, ticket, number, after, stall } => {
-                self.overdue(node, life, ticket, number, after, stall);
+            SimEvent::PlatformRead { node, start_count } => self.watch_platform(node, start_count),
+            SimEvent::StepArrival { endpoint, job } => self.receive_step(endpoint, job),
+            SimEvent::PrefillEnd { endpoint, number } => self.finish_prefill(endpoint, number),
+            SimEvent::DecodeStep { endpoint } => self.run_decode_step(endpoint),
+            SimEvent::TransferEnd { endpoint, job, origin } => self.finish_transfer(endpoint, &job, origin),
+            SimEvent::CallEnd { endpoint, job } => self.finish_call(endpoint, &job),
+            SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout } => {
+                self.check_timeout(node, start_count, ticket, step_number, timeout, is_stall_timeout);
+            }
+            SimEvent::Submit { caller } => self.submit(caller),
+            SimEvent::Abandon { caller, start_count, node, ticket } => {
+                self.abandon(caller, node, start_count, ticket);
             }
-            Happening::Send { caller } => self.send(caller),
-            Happening::Abandon { caller, life, node, ticket } => self.abandon(caller, node, life, ticket),
-            Happening::Fault(fault) => self.break_or_heal(fault),
-            Happening::Relist => self.relist(),
+            SimEvent::Fault(fault) => self.apply_fault(fault),
+            SimEvent::ListUpdate => self.update_list(),
         }
     }
 }
--- a/crates/bench/src/world/network.rs
+++ b/crates/bench/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Delays, cuts and links of limited rate.
+//! Model of the network: delays, partitions and links of limited rate.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,17 +8,17 @@
 
 use super::Deployment;
 
-/// One way inside a failure domain.
-const INSIDE: Duration = Duration::from_micros(100);
-/// One way between failure domains.
-const BETWEEN: Duration = Duration::from_micros(700);
-/// Rate of a link that the configuration does not name, in bytes a second.
-const RATE: u64 = 2_500_000_000;
+/// One-way delay within a failure domain.
+const DELAY_WITHIN_DOMAIN: Duration = Duration::from_micros(100);
+/// One-way delay between failure domains.
+const DELAY_BETWEEN_DOMAINS: Duration = Duration::from_micros(700);
+/// Rate of a link that the configuration does not list.
+const DEFAULT_LINK_BYTES_PER_S: u64 = 2_500_000_000;
 
-/// A place that can be cut off.
+/// One side of a network partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// A failure domain, by its number in the configuration.
+    /// A failure domain, by its index in the configuration.
     Domain(usize),
     /// The platform.
     Platform,
@@ -28,14 +28,14 @@
 #[derive(Debug)]
 pub(super) struct Network {
     domains: HashMap<String, usize>,
-    /// Pairs that cannot reach each other, the lower first.
-    cuts: BTreeSet<(Side, Side)>,
-    rates: HashMap<(usize, usize), u64>,
-    /// When each link will have moved everything given to it.
-    free: HashMap<(usize, usize), Duration>,
+    /// Pairs of sides that cannot reach each other, the lower side first.
+    partitions: BTreeSet<(Side, Side)>,
+    link_rates: HashMap<(usize, usize), u64>,
+    /// Time at which each link will have completed all transfers that it was given.
+    link_free_at: HashMap<(usize, usize), Duration>,
 }
 
-fn pair<T: Ord>(a: T, b: T) -> (T, T) {
+fn ordered_pair<T: Ord>(a: T, b: T) -> (T, T) {
     if a <= b { (a, b) } else { (b, a) }
 }
 
@@ -44,54 +44,55 @@
         let names = deployment.configuration.domains.iter().enumerate();
         let domains: HashMap<String, usize> = names.map(|(i, d)| (d.name.clone(), i)).collect();
         let links = deployment.configuration.links.iter();
-        let rates = links.map(|l| (pair(domains[&l.from], domains[&l.to]), l.rate)).collect();
-        Self { domains, cuts: BTreeSet::new(), rates, free: HashMap::new() }
+        let link_rates = links.map(|l| (ordered_pair(domains[&l.from], domains[&l.to]), l.rate)).collect();
+        Self { domains, partitions: BTreeSet::new(), link_rates, link_free_at: HashMap::new() }
     }
 
-    pub(super) fn domain(&self, name: &str) -> usize {
+    pub(super) fn domain_number(&self, name: &str) -> usize {
         self.domains[name]
     }
 
-    pub(super) fn count(&self) -> usize {
+    pub(super) fn domain_count(&self) -> usize {
         self.domains.len()
     }
 
-    pub(super) fn set_cut(&mut self, a: Side, b: Side, cut: bool) {
+    pub(super) fn set_partitioned(&mut self, a: Side, b: Side, partitioned: bool) {
         if a == b {
             return;
         }
-        if cut {
-            self.cuts.insert(pair(a, b));
+        if partitioned {
+            self.partitions.insert(ordered_pair(a, b));
         } else {
-            self.cuts.remove(&pair(a, b));
+            self.partitions.remove(&ordered_pair(a, b));
         }
     }
 
     pub(super) fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
-    pub(super) fn any_cut(&self) -> bool {
-        !self.cuts.is_empty()
+    pub(super) fn has_partition(&self) -> bool {
+        !self.partitions.is_empty()
     }
 
-    pub(super) fn is_cut(&self, a: Side, b: Side) -> bool {
-        self.cuts.contains(&pair(a, b))
+    pub(super) fn is_partitioned(&self, a: Side, b: Side) -> bool {
+        self.partitions.contains(&ordered_pair(a, b))
     }
 
-    /// One way between two domains, with jitter enough for messages to overtake each other.
+    /// Draws a one-way delay between two domains. The jitter is large enough for messages to be reordered.
     pub(super) fn delay(from: usize, to: usize, rng: &mut SmallRng) -> Duration {
-        let base = if from == to { INSIDE } else { BETWEEN };
+        let base = if from == to { DELAY_WITHIN_DOMAIN } else { DELAY_BETWEEN_DOMAINS };
         base.mul_f64(rng.random_range(0.8..1.6))
     }
 
-    /// When the link between two domains will have moved `bytes` after all that it was given before.
+    /// Queues a transfer of `bytes` on the link between two domains, behind all earlier transfers, and returns
+    /// the time at which it is complete.
     pub(super) fn transfer(&mut self, now: Duration, from: usize, to: usize, bytes: u64) -> Duration {
-        let link = pair(from, to);
-        let rate = self.rates.get(&link).copied().unwrap_or(RATE);
+        let link = ordered_pair(from, to);
+        let rate = self.link_rates.get(&link).copied().unwrap_or(DEFAULT_LINK_BYTES_PER_S);
         let took = Duration::from_secs_f64(bytes as f64 / rate as f64);
-        let free = self.free.entry(link).or_default();
-        *free = (*free).max(now) + took;
-        *free
+        let link_free_at = self.link_free_at.entry(link).or_default();
+        *link_free_at = (*link_free_at).max(now) + took;
+        *link_free_at
     }
 }
--- a/crates/bench/src/world/node.rs
+++ b/crates/bench/src/world/node.rs
@@ -1,4 +1,4 @@
-//! An entry instance: the real core, and whether its process lives.
+//! Simulated process of an entry instance: the real decision core, and the state of its process.
 
 use std::collections::BTreeMap;
 
@@ -8,62 +8,68 @@
 
 use super::drivers::Driver;
 use super::network::{Network, Side};
-use super::{Happening, World};
+use super::{SimEvent, World};
 
+/// Process of one entry instance.
 pub(super) struct Node {
     pub(super) entry: InstanceEntry,
     pub(super) id: InstanceId,
     pub(super) domain: usize,
-    /// Grows with every start and end of the process.
-    pub(super) life: u32,
+    /// Counts the starts and ends of the process. An event that belongs to one process carries the count, and is
+    /// dropped if that process has ended.
+    pub(super) start_count: u32,
+    /// The decision core while the process runs.
     pub(super) instance: Option<Instance>,
     pub(super) frozen: bool,
-    /// When it last began to stand still.
+    /// Start of the last freeze.
     pub(super) frozen_at: std::time::Duration,
-    /// What happened to a frozen process, to be seen when it wakes.
-    missed: Vec<Happening>,
+    /// Events for a frozen process, which are handled when it resumes.
+    deferred: Vec<SimEvent>,
+    /// Whether a graceful shutdown is in progress.
     pub(super) leaving: bool,
+    /// Requests in progress by ticket.
     pub(super) drivers: BTreeMap<Ticket, Driver>,
     pub(super) next_ticket: u64,
+    /// Active configuration version; 0 before the first one.
     version: u64,
-    /// Time of the last event.
-    pub(super) thawed: std::time::Duration,
+    /// Time of the last start or end of a freeze.
+    pub(super) running_since: std::time::Duration,
 }
 
 impl Node {
-    pub(super) fn alive(&self) -> bool {
+    pub(super) fn is_running(&self) -> bool {
         self.instance.is_some()
     }
 }
 
 impl World {
-    /// Starts a process, under a new incarnation if it ran before.
-    pub(super) fn boot(&mut self, index: usize) {
+    /// Starts the process of an instance, under a new incarnation.
+    pub(super) fn start_process(&mut self, index: usize) {
         if index == self.nodes.len() {
             let entry = self.deployment.instances[index].clone();
             let id = InstanceId::of(&entry.name);
             self.by_instance.insert(id, index);
-            let domain = self.network.domain(&entry.domain);
+            let domain = self.network.domain_number(&entry.domain);
             self.nodes.push(Node {
                 entry,
                 id,
                 domain,
-                life: 0,
+                start_count: 0,
                 instance: None,
                 frozen: false,
                 frozen_at: std::time::Duration::ZERO,
-                missed: Vec::new(),
+                deferred: Vec::new(),
                 leaving: false,
                 drivers: BTreeMap::new(),
                 next_ticket: 0,
                 version: 0,
-                thawed: std::time::Duration::ZERO,
+                running_since: std::time::Duration::ZERO,
             });
         }
         let now = self.instant();
         let seed = self.rng.random();
         let deployment = self.deployment.configuration.deployment.clone();
-        // An arbitrary day; only differences matter.
+        // The date is arbitrary; only differences matter.
         let incarnation = 1_800_000_000_000 + self.now.as_millis() as u64;
         let node = &mut self.nodes[index];
         let identity = Identity {
@@ -73,108 +79,109 @@
             address: node.entry.peers,
             incarnation,
         };
-        node.life += 1;
+        node.start_count += 1;
         node.version = 0;
         node.leaving = false;
         node.frozen = false;
-        node.missed.clear();
-        node.thawed = self.now;
+        node.deferred.clear();
+        node.running_since = self.now;
         node.instance = Some(Instance::new(now, identity, seed).with_placement(self.options.placement));
-        let life = node.life;
+        let start_count = node.start_count;
         let phase = Instance::TICK.mul_f64(self.rng.random_range(0.0..1.0));
-        self.after(phase, Happening::Tick { node: index, life });
-        self.after(phase, Happening::Watch { node: index, life });
-        self.ask_seed(index);
+        self.schedule_after(phase, SimEvent::Tick { node: index, start_count });
+        self.schedule_after(phase, SimEvent::PlatformRead { node: index, start_count });
+        self.fetch_from_peer(index);
     }
 
-    /// Like the daemon's bootstrap: a new process asks a peer for what it has.
-    fn ask_seed(&mut self, index: usize) {
+    /// Requests the state of a peer, as the daemon does at its start. The peer is the first other instance of
+    /// the same domain, otherwise the first instance of all.
+    fn fetch_from_peer(&mut self, index: usize) {
         let Some(message) = self.nodes[index].instance.as_ref().map(Instance::fetch_message) else {
             return;
         };
         let domain = self.nodes[index].domain;
-        let seed = self.nodes.iter().position(|n| n.domain == domain && n.id != self.nodes[index].id);
-        let Some(seed) = seed.or_else(|| (index != 0).then_some(0)) else {
+        let peer = self.nodes.iter().position(|n| n.domain == domain && n.id != self.nodes[index].id);
+        let Some(peer) = peer.or_else(|| (index != 0).then_some(0)) else {
             return;
         };
-        self.transmit(index, self.nodes[seed].id, message);
+        self.send_message(index, self.nodes[peer].id, message);
     }
 
-    /// Ends a process on the spot.
+    /// Kills a process. The connections of its callers break.
     pub(super) fn kill(&mut self, index: usize) {
-        if !self.nodes[index].alive() {
+        if !self.nodes[index].is_running() {
             return;
         }
         let node = &mut self.nodes[index];
         node.instance = None;
-        node.life += 1;
-        let broken: Vec<(Ticket, Driver)> = std::mem::take(&mut node.drivers).into_iter().collect();
-        for (_, driver) in broken {
+        node.start_count += 1;
+        let drivers: Vec<(Ticket, Driver)> = std::mem::take(&mut node.drivers).into_iter().collect();
+        for (_, driver) in drivers {
             self.connection_broken(driver.caller);
         }
         let lag = self.options.list_lag;
-        self.after(lag, Happening::Relist);
+        self.schedule_after(lag, SimEvent::ListUpdate);
     }
 
     pub(super) fn freeze(&mut self, index: usize) {
-        if self.nodes[index].alive() && !self.nodes[index].frozen {
+        if self.nodes[index].is_running() && !self.nodes[index].frozen {
             self.nodes[index].frozen = true;
             self.nodes[index].frozen_at = self.now;
             let lag = self.options.list_lag;
-            self.after(lag, Happening::Relist);
+            self.schedule_after(lag, SimEvent::ListUpdate);
         }
     }
 
-    pub(super) fn thaw(&mut self, index: usize) {
+    pub(super) fn unfreeze(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         if !node.frozen {
             return;
         }
         node.frozen = false;
-        node.thawed = self.now;
+        node.running_since = self.now;
         let lag = self.options.list_lag;
-        self.after(lag, Happening::Relist);
+        self.schedule_after(lag, SimEvent::ListUpdate);
         let node = &mut self.nodes[index];
-        for happening in std::mem::take(&mut node.missed) {
-            self.happen(happening);
+        for sim_event in std::mem::take(&mut node.deferred) {
+            self.handle(sim_event);
         }
     }
 
-    pub(super) fn tick(&mut self, node: usize, life: u32) {
-        if self.nodes[node].life != life {
+    pub(super) fn tick(&mut self, node: usize, start_count: u32) {
+        if self.nodes[node].start_count != start_count {
             return;
         }
         if self.nodes[node].frozen {
-            // Missed ticks are not made up for.
-            let missed = &mut self.nodes[node].missed;
-            if !missed.iter().any(|h| matches!(h, Happening::Tick { .. })) {
-                missed.push(Happening::Tick { node, life });
+            // At most one tick is deferred; missed ticks are not repeated.
+            let deferred = &mut self.nodes[node].deferred;
+            if !deferred.iter().any(|e| matches!(e, SimEvent::Tick { .. })) {
+                deferred.push(SimEvent::Tick { node, start_count });
             }
             return;
         }
-        self.after(Instance::TICK, Happening::Tick { node, life });
+        self.schedule_after(Instance::TICK, SimEvent::Tick { node, start_count });
         self.step(node, Event::Tick);
     }
 
-    pub(super) fn result(&mut self, node: usize, life: u32, event: Event) {
-        if self.nodes[node].life != life {
+    pub(super) fn deliver_result(&mut self, node: usize, start_count: u32, event: Event) {
+        if self.nodes[node].start_count != start_count {
             return;
         }
         if self.nodes[node].frozen {
-            self.nodes[node].missed.push(Happening::Result { node, life, event });
+            self.nodes[node].deferred.push(SimEvent::StepResult { node, start_count, event });
             return;
         }
-        self.note_result(node, &event);
+        self.observe_result(node, &event);
         self.step(node, event);
     }
 
-    /// Gives an instance an event and does what it wants done.
+    /// Passes an event to an instance and performs the effects that it returns.
     pub(super) fn step(&mut self, index: usize, event: Event) {
         let now = self.instant();
         let node = &mut self.nodes[index];
         if node.frozen {
-            let life = node.life;
-            node.missed.push(Happening::Result { node: index, life, event });
+            let start_count = node.start_count;
+            node.deferred.push(SimEvent::StepResult { node: index, start_count, event });
             return;
         }
         let Some(instance) = node.instance.as_mut() else {
@@ -190,29 +197,29 @@
 
     fn perform(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Send { to, message, .. } => self.transmit(index, to, message),
-            Effect::Audit(audit) => self.audited(index, &audit),
-            Effect::Stopped => self.stopped(index),
-            effect => self.drive(index, effect),
+            Effect::Send { to, message, .. } => self.send_message(index, to, message),
+            Effect::Audit(audit) => self.observe_audit(index, &audit),
+            Effect::Stopped => self.finish_shutdown(index),
+            effect => self.perform_request_effect(index, effect),
         }
     }
 
-    fn transmit(&mut self, from: usize, to: InstanceId, message: teaselshunt_core::Message) {
+    fn send_message(&mut self, from: usize, to: InstanceId, message: teaselshunt_core::Message) {
         let Some(&node) = self.by_instance.get(&to) else {
             return;
         };
         self.tally.messages += 1;
         self.tally.bytes += encode(&message).len() as u64;
         let (near, far) = (self.nodes[from].domain, self.nodes[node].domain);
-        if self.network.is_cut(Side::Domain(near), Side::Domain(far)) {
+        if self.network.is_partitioned(Side::Domain(near), Side::Domain(far)) {
             return;
         }
         let delay = Network::delay(near, far, &mut self.rng);
         let from = self.nodes[from].id;
-        self.after(delay, Happening::Message { node, from, message });
+        self.schedule_after(delay, SimEvent::Message { node, from, message });
     }
 
-    fn audited(&mut self, index: usize, audit: &teaselshunt_core::Audit) {
+    fn observe_audit(&mut self, index: usize, audit: &teaselshunt_core::Audit) {
         let teaselshunt_core::Audit::Accepted { version, .. } = audit else {
             return;
         };
@@ -223,14 +230,14 @@
         }
     }
 
-    /// Version in force at an instance that lives.
-    pub(super) fn version(&self, index: usize) -> Option<u64> {
+    /// Active configuration version of an instance, if its process runs.
+    pub(super) fn active_version(&self, index: usize) -> Option<u64> {
         self.nodes[index].instance.as_ref().map(|_| self.nodes[index].version)
     }
 
-    /// A planned stop is complete.
-    fn stopped(&mut self, index: usize) {
-        // A request that still lies in a socket has not been taken, and its caller is told by the reset.
+    /// Completes a graceful shutdown.
+    fn finish_shutdown(&mut self, index: usize) {
+        // A request in a socket buffer has not been accepted yet; its caller notices the connection reset.
         if self.nodes[index].drivers.values().any(Driver::accepted) {
             let text = format!("{:?}: instance {index} stopped with requests in flight", self.now);
             self.tally.violations.push(text);
--- a/crates/bench/src/world/platform.rs
+++ b/crates/bench/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: versions, the list, outages, and a replica that lags.
+//! Model of the platform: configuration versions, the instance list, outages, and a replica that lags.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,28 +7,35 @@
 use teaselshunt_settings::Configuration;
 
 use super::network::Side;
-use super::{Deployment, Happening, World};
+use super::{Deployment, SimEvent, World};
 
-/// Time between two answers of a watch that has nothing new.
-const WATCH: Duration = Duration::from_secs(4);
-/// The platform answers in milliseconds.
-const ANSWER: Duration = Duration::from_millis(3);
-/// How long a version may take to be in force where the platform or a peer can be reached.
-pub(super) const SPREAD: Duration = Duration::from_secs(6);
+/// Time between two responses of a watch while nothing changes.
+const WATCH_INTERVAL: Duration = Duration::from_secs(4);
+/// Time in which the platform answers a read.
+const RESPONSE_TIME: Duration = Duration::from_millis(3);
+/// Maximum time until a new version is active at an instance that can reach the platform or a peer.
+pub(super) const VERSION_SPREAD_TIME: Duration = Duration::from_secs(6);
 
+/// State of the platform.
 #[derive(Debug)]
 pub(super) struct Platform {
+    /// Every version in order, parsed and as text.
     versions: Vec<(Arc<Configuration>, Arc<str>)>,
     list: InstanceList,
-    pub(super) down: bool,
-    /// Whether reads are answered by a replica that is one version behind.
-    pub(super) stale: bool,
+    pub(super) is_down: bool,
+    /// Whether reads are answered by a replica whose configuration is one version behind.
+    pub(super) is_stale: bool,
 }
 
 impl Platform {
     pub(super) fn new(deployment: &Deployment) -> Self {
         let list = InstanceList { revision: 1, instances: deployment.instances.clone() };
-        Self { versions: vec![version(deployment.configuration.clone())], list, down: false, stale: false }
+        Self {
+            versions: vec![with_text(deployment.configuration.clone())],
+            list,
+            is_down: false,
+            is_stale: false,
+        }
     }
 
     pub(super) fn latest(&self) -> &Configuration {
@@ -37,69 +44,69 @@
     }
 
     pub(super) fn publish(&mut self, configuration: Configuration) {
-        self.versions.push(version(configuration));
+        self.versions.push(with_text(configuration));
     }
 
     fn read(&self) -> ConfigurationCandidate {
-        let behind = usize::from(self.stale && self.versions.len() > 1);
+        let behind = usize::from(self.is_stale && self.versions.len() > 1);
         let (configuration, text) = &self.versions[self.versions.len() - 1 - behind];
         ConfigurationCandidate::Valid { configuration: Arc::clone(configuration), text: Arc::clone(text) }
     }
 }
 
-fn version(configuration: Configuration) -> (Arc<Configuration>, Arc<str>) {
+fn with_text(configuration: Configuration) -> (Arc<Configuration>, Arc<str>) {
     let text = serde_json::to_string(&configuration).expect("a configuration is JSON");
     (Arc::new(configuration), Arc::from(text))
 }
 
 impl World {
-    /// An instance's watch answers, if it can.
-    pub(super) fn watch(&mut self, node: usize, life: u32) {
-        if self.nodes[node].life != life {
+    /// Reads the platform for an instance's watch, and schedules the next read.
+    pub(super) fn watch_platform(&mut self, node: usize, start_count: u32) {
+        if self.nodes[node].start_count != start_count {
             return;
         }
-        self.after(WATCH, Happening::Watch { node, life });
-        self.read_platform(node, life);
+        self.schedule_after(WATCH_INTERVAL, SimEvent::PlatformRead { node, start_count });
+        self.read_platform(node, start_count);
     }
 
-    fn read_platform(&mut self, node: usize, life: u32) {
+    fn read_platform(&mut self, node: usize, start_count: u32) {
         let side = Side::Domain(self.nodes[node].domain);
-        if self.platform.down || self.network.is_cut(side, Side::Platform) {
+        if self.platform.is_down || self.network.is_partitioned(side, Side::Platform) {
             return;
         }
         let read_started = self.instant();
         let source = Source::Platform;
         let candidate = self.platform.read();
         let list = self.platform.list.clone();
-        self.after(
-            ANSWER,
-            Happening::Result { node, life, event: Event::ConfigurationRead { candidate, source } },
+        self.schedule_after(
+            RESPONSE_TIME,
+            SimEvent::StepResult { node, start_count, event: Event::ConfigurationRead { candidate, source } },
         );
-        self.after(
-            ANSWER,
-            Happening::Result { node, life, event: Event::ListRead { list, source, read_started } },
+        self.schedule_after(
+            RESPONSE_TIME,
+            SimEvent::StepResult { node, start_count, event: Event::ListRead { list, source, read_started } },
         );
     }
 
-    /// Publishes a configuration that `change` makes out of the latest one.
+    /// Applies `change` to the latest configuration and publishes the result as the next version.
     pub(super) fn publish(&mut self, change: impl FnOnce(&mut Configuration)) {
         let mut next = self.platform.latest().clone();
         change(&mut next);
         next.version += 1;
         self.platform.publish(next);
-        self.wake_watches();
+        self.notify_watches();
     }
 
-    /// The list catches up: the dead are dropped, the leaving marked, the living listed.
-    pub(super) fn relist(&mut self) {
-        // The platform takes an instance that stands still or is cut off from it for dead, as it cannot tell.
+    /// Updates the instance list: removes failed instances, marks leaving ones and adds new ones.
+    pub(super) fn update_list(&mut self) {
+        // The platform cannot distinguish a frozen or partitioned instance from a failed one, and removes it.
         let (now, lag) = (self.now, self.options.list_lag);
         let network = &self.network;
-        let seen = |n: &&super::Node| {
-            let still = n.frozen && now >= n.frozen_at + lag;
-            n.alive() && !still && !network.is_cut(Side::Domain(n.domain), Side::Platform)
+        let is_seen = |n: &&super::Node| {
+            let is_frozen = n.frozen && now >= n.frozen_at + lag;
+            n.is_running() && !is_frozen && !network.is_partitioned(Side::Domain(n.domain), Side::Platform)
         };
-        let entries = self.nodes.iter().filter(seen);
+        let entries = self.nodes.iter().filter(is_seen);
         let instances: Vec<InstanceEntry> =
             entries.map(|n| InstanceEntry { leaving: n.leaving, ..n.entry.clone() }).collect();
         if instances == self.platform.list.instances {
@@ -107,14 +114,15 @@
         }
         let revision = self.platform.list.revision + 1;
         self.platform.list = InstanceList { revision, instances };
-        self.wake_watches();
+        self.notify_watches();
     }
 
-    fn wake_watches(&mut self) {
+    /// Lets every running instance read the platform now.
+    fn notify_watches(&mut self) {
         for node in 0..self.nodes.len() {
-            let life = self.nodes[node].life;
-            if self.nodes[node].alive() {
-                self.read_platform(node, life);
+            let start_count = self.nodes[node].start_count;
+            if self.nodes[node].is_running() {
+                self.read_platform(node, start_count);
             }
         }
     }
--- a/crates/bench/src/world/tally.rs
+++ b/crates/bench/src/world/tally.rs
@@ -1,28 +1,29 @@
-//! What a run is judged by.
+//! Results of a run: counts, latencies and violated invariants.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 
-/// Longest latency recorded, in milliseconds.
-const LONGEST: u64 = 600_000;
+/// Maximum latency that is recorded.
+const LATENCY_MAX_MS: u64 = 600_000;
 
 /// Counts of one class.
 #[derive(Debug, Clone)]
 pub struct ClassTally {
-    /// Requests that callers made.
+    /// Requests that callers made, each counted once.
     pub offered: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Whole answers within both targets, the first counted from the sending that was answered.
+    /// Complete responses within both targets, where the time to the first token starts at the submission that
+    /// was answered.
     pub good: u64,
-    /// The same, counted from the caller's first sending.
+    /// The same, where the time to the first token starts at the caller's first submission.
     pub good_first: u64,
-    /// Callers that gave up after refusals.
+    /// Requests that were given up after a refusal or a broken connection.
     pub refused: u64,
-    /// First token, in milliseconds.
+    /// Time to the first token, in milliseconds.
     pub first_token_ms: Histogram<u64>,
-    /// Mean gap between the tokens of an answer, in microseconds.
+    /// Mean gap between the tokens of a response, in microseconds.
     pub token_gap_us: Histogram<u64>,
 }
 
@@ -35,8 +36,8 @@
             good: 0,
             good_first: 0,
             refused: 0,
-            first_token_ms: histogram(LONGEST),
-            token_gap_us: histogram(LONGEST * 1000),
+            first_token_ms: histogram(LATENCY_MAX_MS),
+            token_gap_us: histogram(LATENCY_MAX_MS * 1000),
         }
     }
 }
@@ -44,27 +45,27 @@
 /// Counts of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
-    /// By class.
+    /// Counts by class.
     pub classes: BTreeMap<String, ClassTally>,
-    /// Whole answers within both targets, by second of the run.
+    /// Complete responses within both targets, by second of the run; calls are not counted.
     pub good_by_second: BTreeMap<u64, u64>,
-    /// Prompt tokens that prefill engines worked on.
+    /// Prompt tokens that prefill engines prefilled, repetitions included.
     pub prefilled_tokens: u64,
     /// Prompt tokens of requests that were answered, each counted once.
     pub used_tokens: u64,
     /// Refusals by code.
     pub refusals: BTreeMap<&'static str, u64>,
-    /// Requests sent again by their callers.
+    /// Submissions that were retries of callers.
     pub resent: u64,
-    /// Messages between instances.
+    /// Messages that instances sent to each other.
     pub messages: u64,
-    /// Their bytes, without the transport's.
+    /// Bytes of these messages, without the overhead of the transport.
     pub bytes: u64,
-    /// Things that happened.
+    /// Simulation events that were handled.
     pub sim_events: u64,
-    /// Events that instances took in.
+    /// Events that were passed to instances.
     pub steps: u64,
-    /// What must never be seen.
+    /// Violated invariants.
     pub violations: Vec<String>,
 }
 
@@ -73,15 +74,15 @@
         if !self.classes.contains_key(name) {
             self.classes.insert(name.to_owned(), ClassTally::default());
         }
-        self.classes.get_mut(name).expect("the class was put in above")
+        self.classes.get_mut(name).expect("the class was inserted above")
     }
 
-    /// Whole answers within both targets, over all classes.
+    /// Complete responses within both targets, over all classes.
     pub fn good(&self) -> u64 {
         self.classes.values().map(|c| c.good).sum()
     }
 
-    /// Whole answers within both targets, counted from the first sending, over all classes.
+    /// Complete responses within both targets, counted from the first submission, over all classes.
     pub fn good_first(&self) -> u64 {
         self.classes.values().map(|c| c.good_first).sum()
     }
@@ -91,7 +92,7 @@
         self.classes.values().map(|c| c.offered).sum()
     }
 
-    /// Share of the prefilled tokens that no answer used.
+    /// Fraction of the prefilled tokens that no response used.
     pub fn wasted(&self) -> f64 {
         if self.prefilled_tokens == 0 {
             return 0.0;
