--- a/crates/bench/src/commands/chaos.rs
+++ b/crates/bench/src/commands/chaos.rs
@@ -1,4 +1,4 @@
-//! `chaos`: long random runs of the decision core under faults.
+//! `chaos`: runs random fault plans against the decision core.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,7 +8,7 @@
 
 use super::{CommandError, for_seeds};
 
-/// Size given to the generator; plans bound themselves.
+/// Size parameter of the generator; plans limit their own size.
 const SIZE: usize = 100;
 
 #[derive(Debug, Options)]
@@ -19,40 +19,41 @@
     seed: u64,
     #[options(help = "number of plans", default = "100")]
     cases: u64,
-    #[options(help = "threads", default = "4")]
+    #[options(help = "number of threads", default = "4")]
     threads: u64,
 }
 
+/// Totals over all plans.
 #[derive(Debug, Default)]
-struct Sums {
+struct Totals {
     steps: AtomicU64,
     sim_events: AtomicU64,
     violations: AtomicU64,
 }
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), CommandError> {
-    let sums = Sums::default();
-    for_seeds(arguments.seed, arguments.cases, arguments.threads, |seed| one(seed, &sums));
-    let violations = sums.violations.load(Ordering::Relaxed);
+    let totals = Totals::default();
+    for_seeds(arguments.seed, arguments.cases, arguments.threads, |seed| run_seed(seed, &totals));
+    let violations = totals.violations.load(Ordering::Relaxed);
     println!(
         "{} plans, {} events taken in by instances, {} happenings, {violations} plans with violations",
         arguments.cases,
-        sums.steps.load(Ordering::Relaxed),
-        sums.sim_events.load(Ordering::Relaxed),
+        totals.steps.load(Ordering::Relaxed),
+        totals.sim_events.load(Ordering::Relaxed),
     );
     if violations == 0 { Ok(()) } else { Err(CommandError::Violations(violations as usize)) }
 }
 
-fn one(seed: u64, sums: &Sums) {
-    let mut gen_ = Gen::from_size_and_seed(SIZE, seed);
-    let plan = Plan::arbitrary(&mut gen_);
+fn run_seed(seed: u64, totals: &Totals) {
+    let mut generator = Gen::from_size_and_seed(SIZE, seed);
+    let plan = Plan::arbitrary(&mut generator);
     let tally = plan.run();
-    sums.steps.fetch_add(tally.steps, Ordering::Relaxed);
-    sums.sim_events.fetch_add(tally.sim_events, Ordering::Relaxed);
+    totals.steps.fetch_add(tally.steps, Ordering::Relaxed);
+    totals.sim_events.fetch_add(tally.sim_events, Ordering::Relaxed);
     if tally.violations.is_empty() {
         return;
     }
-    sums.violations.fetch_add(1, Ordering::Relaxed);
+    totals.violations.fetch_add(1, Ordering::Relaxed);
     let shrunk = shrink(plan);
     println!("seed {seed}: {shrunk:?}");
     for violation in shrunk.run().violations.iter().take(12) {
@@ -60,7 +61,7 @@
     }
 }
 
-/// The shortest plan that is found to still violate something.
+/// Removes faults from a plan for as long as the run still has violations.
 fn shrink(mut plan: Plan) -> Plan {
     while let Some(shorter) = plan.shrink().find(|p| !p.run().violations.is_empty()) {
         plan = shorter;
--- a/crates/bench/src/commands/cost.rs
+++ b/crates/bench/src/commands/cost.rs
@@ -1,4 +1,4 @@
-//! `cost`: the router's own cost, against direct calls to the same stand-ins in the same run.
+//! `cost`: measures the overhead of the router compared with direct calls to the same stand-in engines.
 
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
@@ -17,23 +17,24 @@
 
 use super::CommandError;
 
-/// How long the daemon may take to start.
-const START: Duration = Duration::from_secs(10);
-/// Clock ticks a second of the kernel's accounting.
-const TICKS: f64 = 100.0;
-/// Streams at once, tokens each, and their gap, for the cost of a token.
+/// Time within which the daemon must start.
+const DAEMON_START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Resolution of the kernel's accounting of processor time.
+const CLOCK_TICKS_PER_S: f64 = 100.0;
+/// Number of concurrent streams, tokens of each stream and the gap between tokens, for the measurement of the
+/// cost of a token.
 const STREAMS: usize = 200;
-const TOKENS: u32 = 1_500;
-const GAP: Duration = Duration::from_millis(8);
+const TOKENS_PER_STREAM: u32 = 1_500;
+const TOKEN_GAP: Duration = Duration::from_millis(8);
 const PROMPT: &str = "Job sheet 1183, crusher BR-07: jaw plates worn, belt slipped.";
 
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(required, help = "the daemon's program file")]
+    #[options(required, help = "path of the daemon's executable")]
     daemon: String,
-    #[options(help = "requests for the added latency", default = "500")]
+    #[options(help = "number of requests for the measurement of the added latency", default = "500")]
     requests: u32,
 }
 
@@ -43,17 +44,18 @@
 
 async fn measure(arguments: &Arguments) -> Result<(), CommandError> {
     let bench = Bench::start(&arguments.daemon, EngineOptions::quick(Role::Decode)).await?;
-    bench.latency(arguments.requests).await?;
+    bench.measure_latency(arguments.requests).await?;
     drop(bench);
     let options = EngineOptions {
         slots: STREAMS as u32,
-        gap: GAP,
-        length: Some(TOKENS),
+        gap: TOKEN_GAP,
+        length: Some(TOKENS_PER_STREAM),
         ..EngineOptions::quick(Role::Decode)
     };
-    Bench::start(&arguments.daemon, options).await?.tokens().await
+    Bench::start(&arguments.daemon, options).await?.measure_tokens().await
 }
 
+/// Stand-in engines, a stand-in platform and a daemon in front of them.
 struct Bench {
     prefill: Engine,
     decode: Engine,
@@ -71,7 +73,8 @@
     }
 }
 
-fn free() -> std::io::Result<SocketAddr> {
+/// A free address of this machine.
+fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind(("127.0.0.1", 0))?.local_addr()
 }
 
@@ -101,10 +104,10 @@
         let directory = tempfile::TempDir::new()?;
         teaselshunt_ctl::generate_keys(directory.path(), &["bench".to_owned()])?;
         let key = |name: &str| directory.path().join(name);
-        let (callers, peers) = (free()?, free()?);
+        let (callers, peers) = (free_address()?, free_address()?);
         let settings = json!({
             "instance": "bench", "domain": "d", "deployment": "cost",
-            "listen": { "callers": callers, "operators": free()?, "peers": peers },
+            "listen": { "callers": callers, "operators": free_address()?, "peers": peers },
             "platform": [platform.address()],
             "keys": { "authority": key("authority.pem"), "certificate": key("bench.pem"),
                 "private": key("bench.key") },
@@ -115,19 +118,19 @@
         let path = directory.path().join("settings.json");
         std::fs::write(&path, settings.to_string())?;
         let daemon = Command::new(program).arg(&path).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
-        // A new connection for each call, as the router makes them.
+        // Like the router, the client opens a new connection for each call.
         let client = Client::builder().no_proxy().tcp_nodelay(true).pool_max_idle_per_host(0).build()?;
         let bench =
             Self { prefill, decode, _platform: platform, _directory: directory, daemon, callers, client };
-        bench.ready().await?;
+        bench.wait_until_ready().await?;
         Ok(bench)
     }
 
-    /// Waits until a request is answered, and a little longer for the engines' reports.
-    async fn ready(&self) -> Result<(), CommandError> {
+    /// Waits until a request succeeds, and one more second for the load reports of the engines.
+    async fn wait_until_ready(&self) -> Result<(), CommandError> {
         let start = Instant::now();
-        while let Err(error) = self.routed(4).await {
-            if start.elapsed() > START {
+        while let Err(error) = self.time_routed(4).await {
+            if start.elapsed() > DAEMON_START_TIMEOUT {
                 return Err(error);
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -136,8 +139,8 @@
         Ok(())
     }
 
-    /// Time to the first byte of a streamed answer through the router.
-    async fn routed(&self, limit: u32) -> Result<Duration, CommandError> {
+    /// Sends a streamed request through the router and returns the time to the first byte of the response.
+    async fn time_routed(&self, limit: u32) -> Result<Duration, CommandError> {
         let body = json!({ "model": "m", "prompt": PROMPT, "max_tokens": limit, "stream": true });
         let url = format!("http://{}/v1/completions", self.callers);
         let start = Instant::now();
@@ -148,8 +151,8 @@
         Ok(took)
     }
 
-    /// The same steps without the router.
-    async fn direct(&self, number: u32, limit: u32) -> Result<Duration, CommandError> {
+    /// Performs the steps of the same request without the router and returns the time to the first byte.
+    async fn time_direct(&self, number: u32, limit: u32) -> Result<Duration, CommandError> {
         let id = format!("direct-{number}");
         let start = Instant::now();
         let request = PrefillRequest {
@@ -177,14 +180,14 @@
         Ok(took)
     }
 
-    async fn latency(&self, requests: u32) -> Result<(), CommandError> {
+    async fn measure_latency(&self, requests: u32) -> Result<(), CommandError> {
         let mut routed =
             Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are in order");
         let mut direct = routed.clone();
         for number in 0..requests {
-            // In turn, so that whatever else the machine does falls on both.
-            direct.saturating_record(self.direct(number, 4).await?.as_micros() as u64);
-            routed.saturating_record(self.routed(4).await?.as_micros() as u64);
+            // Direct and routed requests alternate, so that other load of the machine affects both.
+            direct.saturating_record(self.time_direct(number, 4).await?.as_micros() as u64);
+            routed.saturating_record(self.time_routed(4).await?.as_micros() as u64);
         }
         for quantile in [0.5, 0.99] {
             let (with, without) = (routed.value_at_quantile(quantile), direct.value_at_quantile(quantile));
@@ -197,27 +200,28 @@
         Ok(())
     }
 
-    async fn tokens(&self) -> Result<(), CommandError> {
-        let before = self.cpu();
+    async fn measure_tokens(&self) -> Result<(), CommandError> {
+        let before = self.processor_seconds();
         let start = Instant::now();
-        let streams = join_all((0..STREAMS).map(|_| self.routed(TOKENS))).await;
-        let ended = streams.iter().filter(|s| s.is_ok()).count();
-        let (cpu, wall) = (self.cpu() - before, start.elapsed().as_secs_f64());
-        let tokens = ended as f64 * f64::from(TOKENS);
+        let streams = join_all((0..STREAMS).map(|_| self.time_routed(TOKENS_PER_STREAM))).await;
+        let completed = streams.iter().filter(|s| s.is_ok()).count();
+        let (processor_seconds, elapsed_seconds) =
+            (self.processor_seconds() - before, start.elapsed().as_secs_f64());
+        let tokens = completed as f64 * f64::from(TOKENS_PER_STREAM);
         println!(
-            "{ended} of {STREAMS} streams whole, {:.0} tokens/s, {cpu:.2} s of processor in {wall:.2} s: {:.0} tokens \
+            "{completed} of {STREAMS} streams whole, {:.0} tokens/s, {processor_seconds:.2} s of processor in {elapsed_seconds:.2} s: {:.0} tokens \
              a second and core",
-            tokens / wall,
-            tokens / cpu
+            tokens / elapsed_seconds,
+            tokens / processor_seconds
         );
         Ok(())
     }
 
     /// Processor time of the daemon, in seconds.
-    fn cpu(&self) -> f64 {
+    fn processor_seconds(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.daemon.id())).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         let field = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
-        (field(11) + field(12)) / TICKS
+        (field(11) + field(12)) / CLOCK_TICKS_PER_S
     }
 }
--- a/crates/bench/src/commands/mod.rs
+++ b/crates/bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one a file.
+//! The commands of the program, each in its own module.
 
 mod chaos;
 mod cost;
@@ -29,17 +29,17 @@
 
 #[derive(Debug, Options)]
 pub(crate) enum Command {
-    #[options(help = "run random plans of faults and report violations, shrunk")]
+    #[options(help = "run random fault plans and report violations with shrunk plans")]
     Chaos(chaos::Arguments),
-    #[options(help = "measure the routing policy against plain ones")]
+    #[options(help = "compare the routing policy with simple policies")]
     Policy(policy::Arguments),
-    #[options(help = "run random plans against the limits of teams")]
+    #[options(help = "test the limits of teams with random plans")]
     Quotas(quotas::Arguments),
-    #[options(help = "run random plans against the rates that endpoints name")]
+    #[options(help = "test the rates that endpoints advertise with random plans")]
     Rates(rates::Arguments),
-    #[options(help = "measure how costs grow with endpoints and instances")]
+    #[options(help = "measure how costs grow with the number of endpoints and instances")]
     Slopes(slopes::Arguments),
-    #[options(help = "measure the router's own cost against direct calls")]
+    #[options(help = "measure the overhead of the router compared with direct calls")]
     Cost(cost::Arguments),
 }
 
@@ -59,7 +59,8 @@
     }
 }
 
-/// Does something for each of `count` seeds from `first` on, on so many threads, in no order.
+/// Calls `act` for `count` seeds from `first` on. The seeds are distributed over the threads in no particular
+/// order.
 fn for_seeds(first: u64, count: u64, threads: u64, act: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(first);
     std::thread::scope(|scope| {
--- a/crates/bench/src/commands/policy.rs
+++ b/crates/bench/src/commands/policy.rs
@@ -1,4 +1,5 @@
-//! `policy`: goodput and waste under one load, ours against plain policies and a bound.
+//! `policy`: compares the goodput and the wasted prefill of the routing policy with those of simple policies and
+//! of a bound.
 
 use gumdrop::Options;
 use teaselshunt_bench::{Deployment, Experiment, Outcome, Policy, Scenario, britasol, pindan};
@@ -6,7 +7,7 @@
 use super::CommandError;
 use super::plot::plot;
 
-/// Loads of a report's curve.
+/// Loads of the curves in a report.
 const LOADS: [f64; 8] = [0.3, 0.5, 0.7, 0.8, 0.9, 1.0, 1.2, 1.5];
 
 #[derive(Debug, Options)]
@@ -15,26 +16,29 @@
     help: bool,
     #[options(help = "britasol or pindan", default = "britasol")]
     deployment: String,
-    #[options(help = "share of what the engines can do", default = "0.9")]
+    #[options(help = "load as a fraction of the maximum throughput of the engines", default = "0.9")]
     load: f64,
     #[options(help = "seed", default = "7")]
     seed: u64,
-    #[options(help = "number of seeds, one after the other; means are printed", default = "1")]
+    #[options(help = "number of consecutive seeds; means are printed", default = "1")]
     seeds: u64,
-    #[options(help = "kill, freeze, partition, outage, lag, drain or move")]
+    #[options(help = "fault during the run: kill, freeze, partition, outage, lag, drain or move")]
     fault: Option<String>,
-    #[options(help = "print JSON, a line for each policy and seed")]
+    #[options(help = "print one line of JSON for each policy and seed")]
     json: bool,
-    #[options(help = "write a plot of goodput and waste over load to this SVG file", meta = "FILE")]
+    #[options(help = "write a plot of goodput and wasted prefill by load to this SVG file", meta = "FILE")]
     report: Option<String>,
 }
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), CommandError> {
-    let deployment = named(&arguments.deployment)?;
+    let deployment = deployment_named(&arguments.deployment)?;
     let scenario = arguments.fault.as_deref().map(str::parse).transpose();
     let scenario: Option<Scenario> = scenario.map_err(CommandError::Usage)?;
     if !(0.01..=10.0).contains(&arguments.load) {
-        return Err(CommandError::Usage(format!("load {}; allowed: 0.01 to 10", arguments.load)));
+        return Err(CommandError::Usage(format!(
+            "load {} is out of range; allowed: 0.01 to 10",
+            arguments.load
+        )));
     }
     let at = |load, seed| Experiment { deployment: deployment.clone(), load, seed, scenario };
     if let Some(file) = &arguments.report {
@@ -58,18 +62,18 @@
     Ok(())
 }
 
-fn named(name: &str) -> Result<Deployment, CommandError> {
+fn deployment_named(name: &str) -> Result<Deployment, CommandError> {
     match name {
         "britasol" => Ok(britasol()),
         "pindan" => Ok(pindan()),
-        _ => Err(CommandError::Usage(format!("deployment {name:?}; allowed: britasol, pindan"))),
+        _ => Err(CommandError::Usage(format!("unknown deployment {name:?}; allowed: britasol, pindan"))),
     }
 }
 
 fn print(policy: Policy, outcomes: &[Outcome], json: bool) {
     if json {
         for outcome in outcomes {
-            println!("{}", serde_json::to_string(outcome).expect("an outcome is JSON"));
+            println!("{}", serde_json::to_string(outcome).expect("an outcome serializes to JSON"));
         }
         return;
     }
--- a/crates/bench/src/commands/quotas.rs
+++ b/crates/bench/src/commands/quotas.rs
@@ -1,4 +1,4 @@
-//! `quotas`: random plans against the limits of teams, with each way to keep them.
+//! `quotas`: tests the limits of teams with random plans, in each quota mode.
 
 use std::sync::Mutex;
 
@@ -9,7 +9,7 @@
 
 use super::{CommandError, for_seeds};
 
-/// Size given to the generator; plans bound themselves.
+/// Size parameter of the generator; plans limit their own size.
 const SIZE: usize = 100;
 
 #[derive(Debug, Options)]
@@ -20,29 +20,33 @@
     seed: u64,
     #[options(help = "number of plans", default = "1000")]
     cases: u64,
-    #[options(help = "threads", default = "4")]
+    #[options(help = "number of threads", default = "4")]
     threads: u64,
-    #[options(help = "print the worst plans of the way that stands", default = "3")]
+    #[options(
+        help = "number of plans to print: those with the fullest windows in the mode of the router",
+        default = "3"
+    )]
     worst: usize,
 }
 
-/// A plan's seed and what it showed with each way.
+/// Seed, plan, and its outcome in each mode.
 type Row = (u64, QuotaPlan, [QuotaOutcome; 2]);
 
-const WAYS: [QuotaMode; 2] = [QuotaMode::Parts, QuotaMode::Shared];
+/// All quota modes; the last one is the mode of the router.
+const MODES: [QuotaMode; 2] = [QuotaMode::Parts, QuotaMode::Shared];
 
 pub(crate) fn run(arguments: &Arguments) -> Result<(), CommandError> {
     let rows = Mutex::new(Vec::<Row>::new());
     for_seeds(arguments.seed, arguments.cases, arguments.threads, |seed| {
         let plan = QuotaPlan::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed));
-        let outcomes = WAYS.map(|way| plan.run(way));
+        let outcomes = MODES.map(|mode| plan.run(mode));
         rows.lock().expect("no thread panics with the lock").push((seed, plan, outcomes));
     });
     let mut rows = rows.into_inner().expect("no thread panics with the lock");
     rows.sort_by(|a, b| b.2[1].max_window_fill.total_cmp(&a.2[1].max_window_fill));
     println!("way     plans  over the bound  fullest window  asked below limit and refused  bytes/s a peer");
-    for (index, way) in WAYS.iter().enumerate() {
-        print_way(*way, &rows, index);
+    for (index, mode) in MODES.iter().enumerate() {
+        print_row(*mode, &rows, index);
     }
     for (seed, plan, outcomes) in rows.iter().take(arguments.worst) {
         println!("seed {seed}: fullest {:.3}: {}", outcomes[1].max_window_fill, serde_json::json!(plan));
@@ -51,11 +55,11 @@
     if over == 0 { Ok(()) } else { Err(CommandError::Violations(over)) }
 }
 
-fn print_way(way: QuotaMode, rows: &[Row], index: usize) {
+fn print_row(mode: QuotaMode, rows: &[Row], index: usize) {
     let outcomes = || rows.iter().map(|row| (&row.1, &row.2[index]));
     let over = outcomes().filter(|(_, outcome)| outcome.exceeds_bound()).count();
     let max_window_fill = outcomes().map(|(_, outcome)| outcome.max_window_fill).fold(0.0, f64::max);
-    // Teams that ask less than their limit, while nothing else is wrong.
+    // Plans without faults whose team requests less than its limit.
     let below = outcomes().filter(|(plan, _)| plan.demand < 10 && plan.faults.is_empty());
     let (mut offered, mut refused) = (0.0, 0.0);
     for (_, outcome) in below {
@@ -63,6 +67,9 @@
         refused += outcome.offered - outcome.admitted;
     }
     let bytes: f64 = outcomes().map(|(_, outcome)| outcome.bytes).sum::<f64>() / rows.len().max(1) as f64;
-    let (plans, part) = (rows.len(), refused / f64::max(offered, 1.0));
-    println!("{:7} {plans:5} {over:15} {max_window_fill:15.3} {part:30.4} {bytes:15.0}", format!("{way:?}"));
+    let (plans, refused_fraction) = (rows.len(), refused / f64::max(offered, 1.0));
+    println!(
+        "{:7} {plans:5} {over:15} {max_window_fill:15.3} {refused_fraction:30.4} {bytes:15.0}",
+        format!("{mode:?}")
+    );
 }
--- a/crates/bench/src/commands/slopes.rs
+++ b/crates/bench/src/commands/slopes.rs
@@ -1,12 +1,12 @@
-//! `slopes`: costs at three sizes and more, for docs/CAPACITY.md.
+//! `slopes`: measures costs at several sizes of a deployment, for docs/CAPACITY.md.
 
 use gumdrop::Options;
 use teaselshunt_bench::{measure_control, measure_decision};
 
-/// Endpoints of today's larger user, of a middle size, and of the size in two years.
+/// Numbers of endpoints: from the larger of the first users through medium sizes to the size in two years.
 const ENDPOINTS: [usize; 4] = [22, 156, 390, 780];
-/// Instances with endpoints, the same.
-const FLEETS: [(usize, usize); 4] = [(8, 22), (38, 78), (76, 156), (380, 780)];
+/// Numbers of instances and endpoints, from the same range of sizes.
+const DEPLOYMENTS: [(usize, usize); 4] = [(8, 22), (38, 78), (76, 156), (380, 780)];
 
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
@@ -20,7 +20,7 @@
     for endpoints in ENDPOINTS {
         let d = measure_decision(endpoints);
         if arguments.json {
-            println!("{}", serde_json::to_string(&d).expect("figures are JSON"));
+            println!("{}", serde_json::to_string(&d).expect("measured costs serialize to JSON"));
         } else {
             println!(
                 "decision: {:4} endpoints, {:3} in the pool: choose {:6.2} us, whole request {:6.2} us",
@@ -28,10 +28,10 @@
             );
         }
     }
-    for (instances, endpoints) in FLEETS {
+    for (instances, endpoints) in DEPLOYMENTS {
         let g = measure_control(instances, endpoints);
         if arguments.json {
-            println!("{}", serde_json::to_string(&g).expect("figures are JSON"));
+            println!("{}", serde_json::to_string(&g).expect("measured costs serialize to JSON"));
         } else {
             println!(
                 "control: {:3} instances, {:3} endpoints: {:5.1} msg/s, {:6.0} B/s, {:.4}% of a core, {:7.0} KB of \
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `teaselshunt-bench`: measurements and long random runs.
+//! `teaselshunt-bench`: measurements, and random runs that search for violated invariants.
 
 mod commands;
 
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,4 +1,4 @@
-//! Experiments with the routing policy: one load, several policies, the same callers.
+//! Experiments that compare routing policies under the same load and with the same callers.
 
 use std::time::Duration;
 
@@ -7,39 +7,43 @@
 
 use crate::world::{Deployment, EngineSpeed, Fault, Load, Options, Side, Tally, World};
 
-/// Callers start after the instances have found each other, and go on until then.
-const FROM: Duration = Duration::from_secs(5);
-const UNTIL: Duration = Duration::from_secs(65);
-/// When a fault begins and ends.
-const FAULT_FROM: Duration = Duration::from_secs(25);
-const FAULT_UNTIL: Duration = Duration::from_secs(35);
-/// Answers that were begun are waited for.
-const END: Duration = Duration::from_secs(125);
-/// Mean prompt and output of a long request, as the callers draw them.
-const LONG: (f64, f64) = (1_902.0, 150.0);
-/// Mean prompt and output of a quick request.
-const QUICK: (f64, f64) = (230.0, 50.0);
+/// Start of the load. By then instances have received updates of each other.
+const LOAD_START: Duration = Duration::from_secs(5);
+/// End of the load.
+const LOAD_END: Duration = Duration::from_secs(65);
+/// Start of the fault.
+const FAULT_START: Duration = Duration::from_secs(25);
+/// End of the fault.
+const FAULT_END: Duration = Duration::from_secs(35);
+/// End of the run, after a wait for the responses that are in progress at the end of the load.
+const RUN_END: Duration = Duration::from_secs(125);
+/// Mean prompt tokens and output tokens of a long request, as the callers draw them.
+const LONG_MEAN_TOKENS: (f64, f64) = (1_902.0, 150.0);
+/// Mean prompt tokens and output tokens of a quick request.
+const QUICK_MEAN_TOKENS: (f64, f64) = (230.0, 50.0);
 
-/// A way to route, ours or one to measure it against.
+/// A routing policy: the router's own one, or one for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// The router's own.
+    /// The policy of the router.
     Ours,
-    /// Each instance for itself, by two choices: the router's first version.
+    /// Each instance selects the less loaded of two random endpoints by itself, as the first version of the router
+    /// did.
     TwoChoices,
-    /// Any endpoint.
+    /// A random endpoint.
     Random,
-    /// Endpoints in turn.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// The least loaded by reports.
+    /// The least loaded endpoint by the last load reports.
     LeastReported,
-    /// One instance that takes every request and knows every slot: a bound, not a router.
+    /// A single instance that receives every request and knows every slot: a bound for comparison and not a
+    /// router.
     Omniscient,
 }
 
 impl Policy {
-    /// All of them, ours first.
+    /// All policies, the router's own first.
     pub const ALL: [Self; 6] =
         [Self::Ours, Self::TwoChoices, Self::Random, Self::RoundRobin, Self::LeastReported, Self::Omniscient];
 
@@ -54,23 +58,23 @@
     }
 }
 
-/// What goes wrong in the middle of an experiment.
+/// A fault or a change in the middle of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scenario {
-    /// An instance is killed and comes back.
+    /// An instance is killed and started again.
     Kill,
-    /// An instance stands still.
+    /// An instance is frozen.
     Freeze,
-    /// A failure domain is cut off from the others.
+    /// A network partition between one failure domain and all others.
     Partition,
     /// The platform is down.
     Outage,
-    /// Load reports are three seconds old throughout.
+    /// Load reports are 3 s old during the whole run.
     Lag,
-    /// A decode endpoint is drained and comes back.
+    /// A decode endpoint is drained, and active again at the end.
     Drain,
-    /// The work moves from the first site to the second in three patches.
+    /// The load moves from the first site to the second in three patches of the configuration.
     Move,
 }
 
@@ -86,7 +90,9 @@
             "lag" => Ok(Self::Lag),
             "drain" => Ok(Self::Drain),
             "move" => Ok(Self::Move),
-            _ => Err(format!("{text:?}; allowed: kill, freeze, partition, outage, lag, drain, move")),
+            _ => Err(format!(
+                "unknown fault {text:?}; allowed: kill, freeze, partition, outage, lag, drain, move"
+            )),
         }
     }
 }
@@ -94,57 +100,59 @@
 /// One experiment.
 #[derive(Debug, Clone)]
 pub struct Experiment {
-    /// Whose fleet.
+    /// Simulated deployment.
     pub deployment: Deployment,
-    /// Share of what the engines can do at best.
+    /// Load as a fraction of the maximum throughput of the engines.
     pub load: f64,
-    /// Seed of everything random.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// What goes wrong.
+    /// Fault or change in the middle of the run.
     pub scenario: Option<Scenario>,
 }
 
-/// What came of it under one policy.
+/// Results of an experiment under one policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// The policy.
+    /// Policy.
     pub policy: Policy,
-    /// Load, as asked for.
+    /// Load of the experiment.
     pub load: f64,
-    /// Requests offered a second.
+    /// Requests a second.
     pub offered: f64,
-    /// Answers a second within both targets, counted from the sending that was answered.
+    /// Responses a second within both targets, where the time to the first token starts at the submission that
+    /// was answered.
     pub goodput: f64,
-    /// The same, counted from the caller's first sending.
+    /// Responses a second within both targets, where the time to the first token starts at the caller's first
+    /// submission.
     pub goodput_first: f64,
-    /// Share of prefilled tokens that no answer used.
+    /// Fraction of the prefilled tokens that no response used.
     pub wasted: f64,
-    /// Refusals by code.
+    /// Number of refusals by code.
     pub refusals: std::collections::BTreeMap<&'static str, u64>,
-    /// Requests sent again by callers.
+    /// Number of retries of callers.
     pub resent: u64,
-    /// Messages between instances, a second and instance.
+    /// Messages that one instance sends to others in a second.
     pub messages: f64,
-    /// Their bytes, a second and instance.
+    /// Bytes of these messages.
     pub bytes: f64,
-    /// By class.
+    /// Results by class.
     pub classes: Vec<ClassOutcome>,
-    /// Seconds after the end of the trouble until goodput is back at 95% of what it was before.
+    /// Seconds from the end of the fault until goodput has recovered to 95% of its value before the fault.
     pub recovery: Option<u64>,
-    /// What must never be seen.
+    /// Number of violated invariants.
     pub violations: usize,
 }
 
-/// Latencies of one class.
+/// Results of one class.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassOutcome {
-    /// Class.
+    /// Name of the class.
     pub class: String,
-    /// Requests offered.
+    /// Number of requests.
     pub offered: u64,
-    /// Whole answers within both targets.
+    /// Number of complete responses within both targets.
     pub good: u64,
-    /// First token in milliseconds: p50, p95, p99.
+    /// Time to the first token in milliseconds: p50, p95, p99.
     pub first_ms: [u64; 3],
     /// Mean gap between tokens in milliseconds: p50, p95, p99.
     pub gap_ms: [f64; 3],
@@ -167,11 +175,11 @@
         if policy != Policy::Omniscient {
             self.schedule_scenario(&mut world);
         }
-        world.run_until(END);
+        world.run_until(RUN_END);
         self.outcome(policy, world.tally())
     }
 
-    /// Rates at which the scarcer side of each pool is used to the load.
+    /// Rates of requests that use the load's fraction of the bottleneck of each pool, prefill or decode.
     fn rates(&self, speed: &EngineSpeed) -> Load {
         let endpoints = &self.deployment.configuration.endpoints;
         let rate = |pool: &str, (prompt, output): (f64, f64)| {
@@ -189,34 +197,34 @@
             models.iter().find(|m| m.name == model).map_or("", |m| m.pool.as_str())
         };
         Load {
-            long: rate(pool(self.deployment.long_models[0]), LONG),
-            quick: rate(pool(self.deployment.quick_model), QUICK),
+            long: rate(pool(self.deployment.long_models[0]), LONG_MEAN_TOKENS),
+            quick: rate(pool(self.deployment.quick_model), QUICK_MEAN_TOKENS),
             calls: 0.0,
             abandon_fraction: 0.0,
-            from: FROM,
-            until: UNTIL,
+            from: LOAD_START,
+            until: LOAD_END,
         }
     }
 
     fn schedule_scenario(&self, world: &mut World) {
-        let mut put = |begin, end| {
-            world.schedule(FAULT_FROM, begin);
-            world.schedule(FAULT_UNTIL, end);
+        let mut schedule_pair = |begin, end| {
+            world.schedule(FAULT_START, begin);
+            world.schedule(FAULT_END, end);
         };
         match self.scenario {
             None | Some(Scenario::Lag) => {}
-            Some(Scenario::Kill) => put(Fault::Kill(1), Fault::Start(1)),
-            Some(Scenario::Freeze) => put(Fault::Freeze(1), Fault::Thaw(1)),
-            Some(Scenario::Outage) => put(Fault::Outage, Fault::OutageEnd),
+            Some(Scenario::Kill) => schedule_pair(Fault::Kill(1), Fault::Start(1)),
+            Some(Scenario::Freeze) => schedule_pair(Fault::Freeze(1), Fault::Thaw(1)),
+            Some(Scenario::Outage) => schedule_pair(Fault::Outage, Fault::OutageEnd),
             Some(Scenario::Drain) => {
                 let endpoint = world.random_decode_endpoint();
-                world.schedule(FAULT_FROM, Fault::Drain(endpoint));
-                world.schedule(FAULT_UNTIL, Fault::Undrain(endpoint));
+                world.schedule(FAULT_START, Fault::Drain(endpoint));
+                world.schedule(FAULT_END, Fault::Undrain(endpoint));
             }
             Some(Scenario::Partition) => {
                 let domains = self.deployment.configuration.domains.len();
                 for other in 1..domains {
-                    put(
+                    schedule_pair(
                         Fault::Cut(Side::Domain(0), Side::Domain(other)),
                         Fault::Mend(Side::Domain(0), Side::Domain(other)),
                     );
@@ -224,15 +232,15 @@
             }
             Some(Scenario::Move) => {
                 for (step, share) in [75, 50, 25].into_iter().enumerate() {
-                    world.schedule(FAULT_FROM + Duration::from_secs(4) * step as u32, Fault::Share(share));
+                    world.schedule(FAULT_START + Duration::from_secs(4) * step as u32, Fault::Share(share));
                 }
             }
         }
     }
 
     fn outcome(&self, policy: Policy, tally: &Tally) -> Outcome {
-        let seconds = UNTIL.saturating_sub(FROM).as_secs_f64();
-        let each = seconds * self.deployment.instances.len() as f64;
+        let seconds = LOAD_END.saturating_sub(LOAD_START).as_secs_f64();
+        let instance_seconds = seconds * self.deployment.instances.len() as f64;
         let classes = tally.classes.iter().map(|(class, c)| ClassOutcome {
             class: class.clone(),
             offered: c.offered,
@@ -249,8 +257,8 @@
             wasted: tally.wasted(),
             refusals: tally.refusals.clone(),
             resent: tally.resent,
-            messages: tally.messages as f64 / each,
-            bytes: tally.bytes as f64 / each,
+            messages: tally.messages as f64 / instance_seconds,
+            bytes: tally.bytes as f64 / instance_seconds,
             classes: classes.collect(),
             recovery: self.scenario.and_then(|_| recovery(tally)),
             violations: tally.violations.len(),
@@ -258,11 +266,12 @@
     }
 }
 
-/// Seconds after the end of the trouble until three seconds' goodput is back at 95% of its mean before.
+/// Seconds from the end of the fault until the mean goodput of 3 s has recovered to 95% of its mean before the
+/// fault.
 fn recovery(tally: &Tally) -> Option<u64> {
     let good = |second: u64| tally.good_by_second.get(&second).copied().unwrap_or(0) as f64;
     let mean = |from: u64, to: u64| (from..to).map(good).sum::<f64>() / (to - from) as f64;
-    let before = mean(15, FAULT_FROM.as_secs());
-    let end = FAULT_UNTIL.as_secs();
-    (end..UNTIL.as_secs() - 3).find(|&s| mean(s, s + 3) >= 0.95 * before).map(|s| s - end)
+    let before = mean(15, FAULT_START.as_secs());
+    let end = FAULT_END.as_secs();
+    (end..LOAD_END.as_secs() - 3).find(|&s| mean(s, s + 3) >= 0.95 * before).map(|s| s - end)
 }
--- a/crates/bench/src/quotas.rs
+++ b/crates/bench/src/quotas.rs
@@ -1,9 +1,11 @@
-//! Random plans against the limits of teams: instances in several failure domains, a team whose callers flood, and cuts,
-//! kills, freezes, lost, doubled and late tellings meanwhile.
+//! Random plans that test the limits of teams.
 //!
-//! A plan is judged from outside, by one account of everything that was admitted: no span of a window's length may hold
-//! more than the limit and the tolerance, and a team that asks for less than its limit, while nothing is cut off, is refused
-//! next to nothing.
+//! A plan has instances in several failure domains and a team whose callers may request more than the team's
+//! limit. Meanwhile there are network partitions, kills and freezes, and updates between instances are lost,
+//! duplicated and delayed.
+//!
+//! The result is measured on the sum of all admissions. No window may contain more than the limit and its
+//! tolerance. A team that requests less than its limit without any fault must have almost no requests refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,58 +18,59 @@
 
 const TEAM: TeamTag = TeamTag(1);
 const LIMIT: Limit = Limit { rate: 10_000.0, burst: 10_000.0 };
-/// A span of this length may hold what the limit allows in it, and besides [`OVER`] of it and [`SLACK`] units.
+/// Length of a window. It may contain what the limit allows in it, plus [`TOLERANCE_FRACTION`] of that, plus
+/// [`TOLERANCE_UNITS`].
 const WINDOW: Duration = Duration::from_secs(8);
-const OVER: f64 = 0.25;
-const SLACK: f64 = 4_000.0;
+const TOLERANCE_FRACTION: f64 = 0.25;
+const TOLERANCE_UNITS: f64 = 4_000.0;
 /// Step of virtual time.
-const STEP: Duration = Duration::from_millis(20);
-/// Pause between two tellings of an instance.
-const BEAT: Duration = Duration::from_millis(100);
-/// Pause between two looks for silent peers.
-const TICK: Duration = Duration::from_millis(200);
-/// Units of a request.
-const COSTS: [u64; 4] = [10, 10, 200, 800];
-/// Time that a started instance needs to read the configuration, before which it serves nobody.
-const READING: Duration = Duration::from_millis(150);
-/// Time before callers come, in which instances hear of one another.
-const CALM: Duration = Duration::from_secs(2);
+const TIME_STEP: Duration = Duration::from_millis(20);
+/// Interval between two updates of an instance.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two checks for unresponsive peers.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Costs of requests in units.
+const REQUEST_COSTS: [u64; 4] = [10, 10, 200, 800];
+/// Time that a restarted instance needs to read the configuration. It serves no callers before.
+const CONFIGURATION_READ_TIME: Duration = Duration::from_millis(150);
+/// Time before the first requests, in which instances receive updates of each other.
+const WARM_UP: Duration = Duration::from_secs(2);
 
-/// What happens to whom.
+/// Kind of a fault, and what it affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum FaultKind {
-    /// One failure domain is cut off from the others.
+    /// A network partition between one failure domain and all others.
     Cut {
-        /// Its number.
+        /// Index of the failure domain.
         domain: u8,
     },
-    /// Instances are killed and start again at the end.
+    /// Instances are killed, and start again when the fault ends.
     Kill {
-        /// Of 8 instances so many.
+        /// Number of instances out of 8.
         eighths: u8,
     },
-    /// Machines stand still.
+    /// Instances are frozen.
     Freeze {
-        /// Of 8 instances so many.
+        /// Number of instances out of 8.
         eighths: u8,
     },
 }
 
-/// A mishap and when it lasts, in milliseconds after the callers came.
+/// A fault and its time, in milliseconds after the end of the warm-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct TimedFault {
-    /// What.
+    /// Kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// Its beginning.
+    /// Start of the fault.
     pub at: u32,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub length: u32,
 }
 
 impl TimedFault {
-    /// Up to three at random, in a deployment of so many failure domains.
-    pub(crate) fn series(g: &mut Gen, domains: u8) -> Vec<Self> {
+    /// Draws up to three faults for a deployment with `domains` failure domains.
+    pub(crate) fn draw_series(g: &mut Gen, domains: u8) -> Vec<Self> {
         let fault = |g: &mut Gen| {
             let eighths = u8::arbitrary(g) % 8 + 1;
             let kind = match u8::arbitrary(g) % 4 {
@@ -81,41 +84,42 @@
     }
 }
 
-/// A random run.
+/// Plan of a random run.
 #[derive(Debug, Clone, Serialize)]
 pub struct QuotaPlan {
-    /// From which everything else is drawn.
+    /// Seed of all random draws during the run.
     pub seed: u64,
-    /// Instances of each failure domain.
+    /// Number of instances in each failure domain.
     pub domains: Vec<u8>,
-    /// What the team asks, in tenths of its limit.
+    /// Requested units, in tenths of the limit.
     pub demand: u8,
-    /// How unevenly callers are spread: 0 alike, more for fewer instances that get most.
+    /// How unevenly callers are spread over instances: 0 is almost even, and with higher values fewer instances
+    /// get most callers.
     pub skew: u8,
-    /// Tellings that are lost, in hundredths.
+    /// Percentage of updates that are lost.
     pub loss: u8,
-    /// What goes wrong.
+    /// Faults during the run.
     #[serde(rename = "troubles")]
     pub faults: Vec<TimedFault>,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct QuotaOutcome {
-    /// Units that callers asked for.
+    /// Units that callers requested.
     #[serde(rename = "asked")]
     pub offered: f64,
     /// Units that were admitted.
     pub admitted: f64,
-    /// The fullest window, as a part of what limit and tolerance allow in it.
+    /// Largest fill of a window, as a fraction of what limit and tolerance allow.
     #[serde(rename = "fullest")]
     pub max_window_fill: f64,
-    /// Bytes that an instance sends to one peer in a second, about its spending alone.
+    /// Bytes of reports on spending that an instance sends to one peer in a second.
     pub bytes: f64,
 }
 
 impl QuotaOutcome {
-    /// Whether more was admitted in some window than limit and tolerance allow.
+    /// Whether some window contained more than limit and tolerance allow.
     pub fn exceeds_bound(&self) -> bool {
         self.max_window_fill > 1.0
     }
@@ -124,7 +128,7 @@
 impl Arbitrary for QuotaPlan {
     fn arbitrary(g: &mut Gen) -> Self {
         let domains = (0..u8::arbitrary(g) % 3 + 2).map(|_| u8::arbitrary(g) % 8 + 1).collect::<Vec<_>>();
-        let faults = TimedFault::series(g, domains.len() as u8);
+        let faults = TimedFault::draw_series(g, domains.len() as u8);
         Self {
             seed: u64::arbitrary(g),
             demand: [5, 9, 20, 50, 90][usize::arbitrary(g) % 5],
@@ -137,72 +141,74 @@
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let plan = self.clone();
-        let fewer = (0..plan.faults.len()).map(move |index| {
+        let candidates = (0..plan.faults.len()).map(move |index| {
             let mut shorter = plan.clone();
             shorter.faults.remove(index);
             shorter
         });
-        Box::new(fewer)
+        Box::new(candidates)
     }
 }
 
+/// One simulated instance.
 struct Node {
     quotas: Quotas<usize>,
     domain: u8,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
-    /// Part of the callers that come to it.
-    share: f64,
-    /// What its callers have asked for and not yet sent.
-    due: f64,
-    next_beat: Duration,
+    /// Fraction of the callers that use this instance.
+    caller_fraction: f64,
+    /// Units that its callers are due to request.
+    pending: f64,
+    next_gossip: Duration,
     next_tick: Duration,
     down: bool,
     frozen: bool,
-    /// From when on it takes callers.
-    ready: Duration,
+    /// Time from which on it serves callers.
+    ready_at: Duration,
 }
 
-struct Telling {
+/// An update in transit.
+struct Update {
     at: Duration,
     from: usize,
     to: usize,
-    hearing: UpdateHeader,
-    spent: Vec<TeamSpending>,
+    header: UpdateHeader,
+    spending: Vec<TeamSpending>,
 }
 
 struct Run<'a> {
     plan: &'a QuotaPlan,
-    way: QuotaMode,
+    mode: QuotaMode,
     rng: SmallRng,
     now: Duration,
     nodes: Vec<Node>,
-    on_way: Vec<Telling>,
-    /// Admitted in the window so far, by step.
+    in_transit: Vec<Update>,
+    /// Admitted units in the current window, by step.
     window: VecDeque<(Duration, f64)>,
     outcome: QuotaOutcome,
     active: Vec<bool>,
 }
 
-/// When virtual time begins; the instances' machines have been up for a while.
-const BEGIN: Duration = Duration::from_secs(1000);
+/// Start of virtual time; it is above zero because machines have usually been up for a while.
+const START: Duration = Duration::from_secs(1000);
 
 impl QuotaPlan {
-    /// Plays the plan with a way to keep limits.
-    pub fn run(&self, way: QuotaMode) -> QuotaOutcome {
-        const LENGTH: Duration = Duration::from_secs(20);
-        let mut run = Run::new(self, way);
-        while run.now < BEGIN + CALM + LENGTH {
+    /// Runs the plan with a quota mode.
+    pub fn run(&self, mode: QuotaMode) -> QuotaOutcome {
+        const LOAD_TIME: Duration = Duration::from_secs(20);
+        let mut run = Run::new(self, mode);
+        while run.now < START + WARM_UP + LOAD_TIME {
             run.step();
         }
-        let tellers = run.nodes.len() as f64;
-        run.outcome.bytes /= (LENGTH + CALM).as_secs_f64() * tellers * (tellers - 1.0).max(1.0);
+        let senders = run.nodes.len() as f64;
+        run.outcome.bytes /= (LOAD_TIME + WARM_UP).as_secs_f64() * senders * (senders - 1.0).max(1.0);
         run.outcome
     }
 }
 
 impl<'a> Run<'a> {
-    fn new(plan: &'a QuotaPlan, way: QuotaMode) -> Self {
+    fn new(plan: &'a QuotaPlan, mode: QuotaMode) -> Self {
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let domains = plan.domains.len() as u32;
         let mut nodes = Vec::new();
@@ -210,31 +216,31 @@
             for _ in 0..count {
                 let weight: f64 = rng.random_range(0.05..1.0);
                 nodes.push(Node {
-                    quotas: opened(BEGIN, way, StartKind::First, (domain as u32, domains)),
+                    quotas: new_quotas(START, mode, StartKind::First, (domain as u32, domains)),
                     domain: domain as u8,
-                    life: rng.random(),
+                    incarnation: rng.random(),
                     sequence: 0,
-                    share: weight.powi(i32::from(plan.skew) * 2),
-                    due: 0.0,
-                    next_beat: BEGIN + BEAT.mul_f64(rng.random_range(0.0..1.0)),
-                    next_tick: BEGIN + TICK.mul_f64(rng.random_range(0.0..1.0)),
+                    caller_fraction: weight.powi(i32::from(plan.skew) * 2),
+                    pending: 0.0,
+                    next_gossip: START + GOSSIP_INTERVAL.mul_f64(rng.random_range(0.0..1.0)),
+                    next_tick: START + TICK_INTERVAL.mul_f64(rng.random_range(0.0..1.0)),
                     down: false,
                     frozen: false,
-                    ready: BEGIN,
+                    ready_at: START,
                 });
             }
         }
-        let all: f64 = nodes.iter().map(|node| node.share).sum();
+        let total: f64 = nodes.iter().map(|node| node.caller_fraction).sum();
         for node in &mut nodes {
-            node.share /= all;
+            node.caller_fraction /= total;
         }
         Self {
             plan,
-            way,
+            mode,
             rng,
-            now: BEGIN,
+            now: START,
             nodes,
-            on_way: Vec::new(),
+            in_transit: Vec::new(),
             window: VecDeque::new(),
             outcome: QuotaOutcome::default(),
             active: vec![false; plan.faults.len()],
@@ -242,8 +248,8 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        self.mishaps();
+        self.now += TIME_STEP;
+        self.apply_faults();
         self.deliver();
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
@@ -251,43 +257,43 @@
                 continue;
             }
             if self.now >= node.next_tick {
-                node.next_tick = self.now + TICK;
+                node.next_tick = self.now + TICK_INTERVAL;
                 node.quotas.tick(self.now);
             }
-            if self.now >= node.next_beat {
-                node.next_beat = self.now + BEAT;
-                self.tell(index);
+            if self.now >= node.next_gossip {
+                node.next_gossip = self.now + GOSSIP_INTERVAL;
+                self.send_updates(index);
             }
         }
-        let admitted = self.callers();
-        self.judge(admitted);
+        let admitted = self.submit_requests();
+        self.check_window(admitted);
     }
 
-    /// Begins and ends what goes wrong.
-    fn mishaps(&mut self) {
+    /// Starts and ends the faults that are due.
+    fn apply_faults(&mut self) {
         let plan = self.plan;
         for (index, fault) in plan.faults.iter().enumerate() {
-            let begin = BEGIN + CALM + Duration::from_millis(u64::from(fault.at));
+            let begin = START + WARM_UP + Duration::from_millis(u64::from(fault.at));
             let end = begin + Duration::from_millis(u64::from(fault.length));
             let active = self.now >= begin && self.now < end;
             if std::mem::replace(&mut self.active[index], active) != active {
-                self.change(fault.kind, active);
+                self.set_fault(fault.kind, active);
             }
         }
     }
 
-    fn change(&mut self, kind: FaultKind, begins: bool) {
-        let hit = |index: usize, eighths: u8| (index * 5) % 8 < usize::from(eighths);
+    fn set_fault(&mut self, kind: FaultKind, begins: bool) {
+        let is_hit = |index: usize, eighths: u8| (index * 5) % 8 < usize::from(eighths);
         for index in 0..self.nodes.len() {
             match kind {
-                FaultKind::Freeze { eighths } if hit(index, eighths) => self.nodes[index].frozen = begins,
-                FaultKind::Kill { eighths } if hit(index, eighths) => {
+                FaultKind::Freeze { eighths } if is_hit(index, eighths) => self.nodes[index].frozen = begins,
+                FaultKind::Kill { eighths } if is_hit(index, eighths) => {
                     self.nodes[index].down = begins;
                     if !begins {
                         self.restart(index);
                     }
                 }
-                // Cuts are looked up when something is sent.
+                // Partitions are evaluated when an update is sent.
                 FaultKind::Cut { .. } | FaultKind::Kill { .. } | FaultKind::Freeze { .. } => {}
             }
         }
@@ -295,53 +301,54 @@
 
     fn restart(&mut self, index: usize) {
         let domains = self.plan.domains.len() as u32;
-        let life = self.rng.random();
+        let incarnation = self.rng.random();
         let node = &mut self.nodes[index];
-        node.quotas = opened(self.now, self.way, StartKind::Subsequent, (u32::from(node.domain), domains));
-        node.life = life;
+        node.quotas =
+            new_quotas(self.now, self.mode, StartKind::Subsequent, (u32::from(node.domain), domains));
+        node.incarnation = incarnation;
         node.sequence = 0;
-        node.ready = self.now + READING;
+        node.ready_at = self.now + CONFIGURATION_READ_TIME;
     }
 
-    fn is_cut(&self, a: u8, b: u8) -> bool {
-        let cuts = self.plan.faults.iter().zip(&self.active).filter(|(_, active)| **active);
-        cuts.into_iter().any(|(fault, _)| match fault.kind {
+    fn is_partitioned(&self, a: u8, b: u8) -> bool {
+        let active_faults = self.plan.faults.iter().zip(&self.active).filter(|(_, active)| **active);
+        active_faults.into_iter().any(|(fault, _)| match fault.kind {
             FaultKind::Cut { domain } => (a == domain) != (b == domain),
             FaultKind::Kill { .. } | FaultKind::Freeze { .. } => false,
         })
     }
 
-    fn tell(&mut self, from: usize) {
-        /// Bytes of one team's spending: tag, three numbers of some millions.
+    fn send_updates(&mut self, from: usize) {
+        /// Bytes of the report on one team: a tag and three numbers of some millions.
         const ENTRY: usize = 17;
         let node = &mut self.nodes[from];
         node.sequence += 1;
-        let (life, sequence, domain) = (node.life, node.sequence, node.domain);
+        let (incarnation, sequence, domain) = (node.incarnation, node.sequence, node.domain);
         let instances = node.quotas.known_instances();
-        let spent = node.quotas.team_spending(self.now);
+        let spending = node.quotas.team_spending(self.now);
         for to in 0..self.nodes.len() {
             if to == from {
                 continue;
             }
-            self.outcome.bytes += (spent.len() * ENTRY) as f64;
-            if self.is_cut(domain, self.nodes[to].domain)
+            self.outcome.bytes += (spending.len() * ENTRY) as f64;
+            if self.is_partitioned(domain, self.nodes[to].domain)
                 || self.rng.random_range(0..100) < u32::from(self.plan.loss)
             {
                 continue;
             }
-            let hearing = UpdateHeader {
-                incarnation: life,
+            let header = UpdateHeader {
+                incarnation,
                 sequence,
                 domain: u32::from(domain),
                 draining: false,
                 known_instances: instances,
             };
-            // One in twenty comes twice, and one in twenty late.
-            let copies = if self.rng.random_bool(0.05) { 2 } else { 1 };
-            for _ in 0..copies {
+            // 1 in 20 updates is duplicated, and 1 in 20 deliveries is late.
+            let deliveries = if self.rng.random_bool(0.05) { 2 } else { 1 };
+            for _ in 0..deliveries {
                 let delay = if self.rng.random_bool(0.05) { 300 } else { 2 };
                 let at = self.now + Duration::from_millis(delay);
-                self.on_way.push(Telling { at, from, to, hearing, spent: spent.clone() });
+                self.in_transit.push(Update { at, from, to, header, spending: spending.clone() });
             }
         }
     }
@@ -349,33 +356,33 @@
     fn deliver(&mut self) {
         let now = self.now;
         let nodes = &mut self.nodes;
-        self.on_way.retain(|telling| {
-            let node = &mut nodes[telling.to];
-            if telling.at > now || node.frozen {
+        self.in_transit.retain(|update| {
+            let node = &mut nodes[update.to];
+            if update.at > now || node.frozen {
                 return !node.down;
             }
-            if !node.down && node.quotas.receive_update(now, telling.from, telling.hearing) {
-                node.quotas.merge_spending(now, telling.from, telling.spent.iter().copied());
+            if !node.down && node.quotas.receive_update(now, update.from, update.header) {
+                node.quotas.merge_spending(now, update.from, update.spending.iter().copied());
             }
             false
         });
     }
 
-    /// Callers ask; units that were admitted.
-    fn callers(&mut self) -> f64 {
-        if self.now < BEGIN + CALM {
+    /// Submits the requests of all callers that are due, and returns the admitted units.
+    fn submit_requests(&mut self) -> f64 {
+        if self.now < START + WARM_UP {
             return 0.0;
         }
-        let demand = LIMIT.rate * f64::from(self.plan.demand) / 10.0 * STEP.as_secs_f64();
+        let demand = LIMIT.rate * f64::from(self.plan.demand) / 10.0 * TIME_STEP.as_secs_f64();
         let mut admitted = 0.0;
         for node in &mut self.nodes {
-            node.due += demand * node.share;
-            if node.down || node.frozen || self.now < node.ready {
-                node.due = 0.0;
+            node.pending += demand * node.caller_fraction;
+            if node.down || node.frozen || self.now < node.ready_at {
+                node.pending = 0.0;
             }
-            while node.due > 0.0 {
-                let cost = COSTS[self.rng.random_range(0..COSTS.len())];
-                node.due -= cost as f64;
+            while node.pending > 0.0 {
+                let cost = REQUEST_COSTS[self.rng.random_range(0..REQUEST_COSTS.len())];
+                node.pending -= cost as f64;
                 self.outcome.offered += cost as f64;
                 if node.quotas.admit(self.now, TEAM, cost).is_ok() {
                     admitted += cost as f64;
@@ -385,7 +392,7 @@
         admitted
     }
 
-    fn judge(&mut self, admitted: f64) {
+    fn check_window(&mut self, admitted: f64) {
         self.outcome.admitted += admitted;
         self.window.push_back((self.now, admitted));
         while self.window.front().is_some_and(|(at, _)| *at + WINDOW < self.now) {
@@ -393,13 +400,13 @@
         }
         let units: f64 = self.window.iter().map(|(_, units)| units).sum();
         let limit = LIMIT.rate * WINDOW.as_secs_f64() + LIMIT.burst;
-        let allowed = limit * (1.0 + OVER) + SLACK;
+        let allowed = limit * (1.0 + TOLERANCE_FRACTION) + TOLERANCE_UNITS;
         self.outcome.max_window_fill = self.outcome.max_window_fill.max(units / allowed);
     }
 }
 
-fn opened(now: Duration, way: QuotaMode, start: StartKind, domains: (u32, u32)) -> Quotas<usize> {
-    let mut quotas = Quotas::new(now, way, start, domains);
+fn new_quotas(now: Duration, mode: QuotaMode, start: StartKind, domains: (u32, u32)) -> Quotas<usize> {
+    let mut quotas = Quotas::new(now, mode, start, domains);
     quotas.set_limits(now, [(TEAM, LIMIT)]);
     quotas
 }
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -1,9 +1,13 @@
-//! Random plans against the rates that endpoints name: instances in several failure domains whose callers ask for more than
-//! all endpoints of a service take together, and cuts, kills, freezes, lost, doubled and late tellings meanwhile.
+//! Random plans that test the rates that endpoints advertise.
 //!
-//! A plan is judged from outside, by what reaches each endpoint: no span of a window's length may hold more than one and a
-//! half times the rate and some requests, from instances that have been well for a while. What a service takes is to be used,
-//! and callers who ask for less are refused next to nothing.
+//! A plan has instances in several failure domains. Their callers may request more than all endpoints of a
+//! service accept together. Meanwhile there are network partitions, kills and freezes, and updates between
+//! instances are lost, duplicated and delayed.
+//!
+//! The result is measured at the endpoints. In no window may an endpoint get more than [`TOLERANCE_FACTOR`]
+//! times its rate and [`TOLERANCE_REQUESTS`] requests. Only requests of instances without a recent fault count.
+//! The capacity of the service must be used, and callers who request less than the capacity must have almost no
+//! requests refused.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -23,82 +27,85 @@
 use crate::quotas::{FaultKind, TimedFault};
 
 const SERVICE: &str = "desk";
-/// A span of this length may hold what the rate allows in it, [`OVER`] times, and besides [`SLACK`] requests.
+/// Length of a window. It may contain [`TOLERANCE_FACTOR`] times what the rate allows in it, plus
+/// [`TOLERANCE_REQUESTS`].
 const WINDOW: Duration = Duration::from_secs(4);
-const OVER: f64 = 1.5;
-const SLACK: f64 = 5.0;
-/// Time after which a named rate binds, and after a mishap an instance that it hit.
-const STABLE: Duration = Duration::from_secs(3);
+const TOLERANCE_FACTOR: f64 = 1.5;
+const TOLERANCE_REQUESTS: f64 = 5.0;
+/// Time after which instances must keep to a rate: from its first advertisement, and for an instance that was
+/// affected by a fault from the end of the fault.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Step of virtual time.
-const STEP: Duration = Duration::from_millis(10);
-/// Time between two tellings of a peer, and what each other peer adds to it; of more than [`FANOUT`] some wait for the next
-/// round.
-const BEAT: Duration = Duration::from_millis(25);
-const BEAT_PEER: Duration = Duration::from_millis(1);
-const FANOUT: usize = 80;
-/// Time that an endpoint works on a request.
-const WORK: Duration = Duration::from_millis(20);
-/// Way of a telling.
-const WAY: Duration = Duration::from_millis(2);
-/// How late a telling comes that is late.
-const LATE: Duration = Duration::from_millis(300);
-/// Time from the naming of the rates to the end.
-const LENGTH: Duration = Duration::from_secs(20);
-/// Time before that, in which instances hear of one another.
-const CALM: Duration = Duration::from_secs(1);
-
-/// A random run.
+const TIME_STEP: Duration = Duration::from_millis(10);
+/// Gossip interval without peers, and its increase for each peer. At most [`FANOUT_MAX`] peers get an update in
+/// one interval; with more peers, an update to all of them takes several intervals.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(25);
+const GOSSIP_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
+const FANOUT_MAX: usize = 80;
+/// Processing time of a request at an endpoint.
+const PROCESSING_TIME: Duration = Duration::from_millis(20);
+/// Network delay of an update.
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+/// Network delay of a late update.
+const LATE_DELAY: Duration = Duration::from_millis(300);
+/// Time from the first advertisement of the rates to the end of the run.
+const LOAD_TIME: Duration = Duration::from_secs(20);
+/// Time before the first advertisement, in which instances receive updates of each other.
+const WARM_UP: Duration = Duration::from_secs(1);
+
+/// Plan of a random run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RatePlan {
-    /// From which everything else is drawn.
+    /// Seed of all random draws during the run.
     pub seed: u64,
-    /// Instances of each failure domain.
+    /// Number of instances in each failure domain.
     pub domains: Vec<u16>,
-    /// Endpoints, of which each names a rate.
+    /// Number of endpoints; each of them advertises the rate.
     pub endpoints: u8,
-    /// The rate, in tenths of a request a second.
+    /// Advertised rate, in tenths of a request a second.
     pub rate: u16,
-    /// What callers ask, in tenths of what all endpoints take together.
+    /// Requested rate, in tenths of the capacity of all endpoints.
     pub demand: u8,
-    /// How unevenly callers are spread: 0 alike, more for fewer instances that get most.
+    /// How unevenly callers are spread over instances: 0 is almost even, and with higher values fewer instances
+    /// get most callers.
     pub skew: u8,
-    /// Tellings that are lost, in hundredths.
+    /// Percentage of updates that are lost.
     pub loss: u8,
-    /// What goes wrong.
+    /// Faults during the run.
     #[serde(rename = "troubles")]
     pub faults: Vec<TimedFault>,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct RateOutcome {
-    /// Requests that callers sent once the rates were in force.
+    /// Requests of callers after instances had to keep to the rates.
     #[serde(rename = "asked")]
     pub offered: f64,
-    /// Those that reached an endpoint.
+    /// Number of these requests that were sent to an endpoint.
     pub sent: f64,
-    /// What the endpoints took together, in requests.
+    /// Number of requests that all endpoints accept in the same time.
     #[serde(rename = "takes")]
     pub capacity: f64,
-    /// The fullest window of any endpoint, as a part of what it may hold.
+    /// Largest fill of a window of any endpoint, as a fraction of what the window may contain.
     #[serde(rename = "fullest")]
     pub max_window_fill: f64,
-    /// Entries about rates that an instance sends to one peer in a second.
+    /// Rate reports that an instance sends to one peer in a second.
     pub entries: f64,
 }
 
 impl RateOutcome {
-    /// Whether an endpoint got more in some window than it may.
+    /// Whether some window of an endpoint contained more than it may.
     pub fn exceeds_bound(&self) -> bool {
         self.max_window_fill > 1.0
     }
 
-    /// The part of what the endpoints take that was used.
+    /// Used fraction of the capacity.
     pub fn utilization(&self) -> f64 {
         self.sent / self.capacity.max(1.0)
     }
 
-    /// The part of the requests that was refused.
+    /// Refused fraction of the requests.
     pub fn refused_fraction(&self) -> f64 {
         1.0 - self.sent / self.offered.max(1.0)
     }
@@ -109,7 +116,7 @@
         let largest = [4, 4, 8, 8, 20, 100][usize::arbitrary(g) % 6];
         let count = usize::arbitrary(g) % 3 + 2;
         let domains: Vec<_> = (0..count).map(|_| u16::arbitrary(g) % largest + 1).collect();
-        let faults = TimedFault::series(g, domains.len() as u8);
+        let faults = TimedFault::draw_series(g, domains.len() as u8);
         Self {
             seed: u64::arbitrary(g),
             endpoints: [1, 2, 4, 6, 20][usize::arbitrary(g) % 5],
@@ -124,17 +131,17 @@
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let plan = self.clone();
-        let fewer = (0..plan.faults.len()).map(move |index| {
+        let candidates = (0..plan.faults.len()).map(move |index| {
             let mut shorter = plan.clone();
             shorter.faults.remove(index);
             shorter
         });
-        Box::new(fewer)
+        Box::new(candidates)
     }
 }
 
 impl RatePlan {
-    /// Instances in all.
+    /// Number of all instances.
     pub fn instances(&self) -> usize {
         self.domains.iter().map(|&count| usize::from(count)).sum()
     }
@@ -143,61 +150,63 @@
         f64::from(self.rate) / 10.0
     }
 
-    /// What callers ask in a second; as if one request could be taken each second where the rate is next to nothing.
+    /// Requests a second of all callers. A capacity below one request a second counts as one.
     fn demand(&self) -> f64 {
         (self.rate() * f64::from(self.endpoints)).max(1.0) * f64::from(self.demand) / 10.0
     }
 
-    /// Plays the plan with a way to keep to rates.
+    /// Runs the plan with a kind of pacing.
     pub fn run(&self, pacing: Pacing) -> RateOutcome {
         let mut run = Run::new(self, pacing);
-        while run.now < run.begun + CALM + LENGTH {
+        while run.now < run.start + WARM_UP + LOAD_TIME {
             run.step();
         }
         let nodes = run.nodes.len() as f64;
-        run.outcome.entries /= (CALM + LENGTH).as_secs_f64() * nodes * (nodes - 1.0).max(1.0);
+        run.outcome.entries /= (WARM_UP + LOAD_TIME).as_secs_f64() * nodes * (nodes - 1.0).max(1.0);
         run.outcome
     }
 }
 
-/// One instance.
+/// One simulated instance.
 struct Node {
     endpoints: Endpoints,
     keys: Vec<EndpointKey>,
     domain: u8,
-    life: u64,
-    /// Part of the callers that come to it.
-    share: f64,
-    /// Requests of its callers that are due.
-    due: f64,
-    next_beat: Instant,
+    incarnation: u64,
+    /// Fraction of the callers that use this instance.
+    caller_fraction: f64,
+    /// Requests that its callers are due to submit.
+    pending: f64,
+    next_gossip: Instant,
     peers: Peers<usize>,
-    /// Life and number of the last telling of others.
-    heard: HashMap<usize, (u64, u64)>,
-    /// Tellings so far.
+    /// Incarnation and sequence number of the last update of each peer.
+    last_updates: HashMap<usize, (u64, u64)>,
+    /// Sequence number of the last update that was sent.
     sequence: u64,
     down: bool,
     frozen: bool,
-    /// Until when it is excused.
-    excused: Instant,
+    /// Time until which its requests do not count in windows.
+    exempt_until: Instant,
 }
 
-struct Telling {
+/// An update in transit.
+struct Update {
     at: Instant,
     from: usize,
     to: usize,
-    /// Failure domain of the sender, and after which time it tells something again.
+    /// Failure domain of the sender, and the time until its next update.
     domain: u8,
-    next: Duration,
-    life: u64,
+    next_interval: Duration,
+    incarnation: u64,
     sequence: u64,
-    news: Rc<Vec<RateReport>>,
+    reports: Rc<Vec<RateReport>>,
 }
 
-struct Answer {
+/// A response in transit.
+struct Response {
     at: Instant,
     to: usize,
-    life: u64,
+    incarnation: u64,
     endpoint: usize,
 }
 
@@ -205,20 +214,20 @@
     plan: &'a RatePlan,
     pacing: Pacing,
     rng: SmallRng,
-    begun: Instant,
+    start: Instant,
     now: Instant,
     nodes: Vec<Node>,
     tags: Vec<EngineTag>,
-    tellings: VecDeque<Telling>,
-    late: VecDeque<Telling>,
-    answers: VecDeque<Answer>,
-    /// What counts at each endpoint in the window so far.
+    updates: VecDeque<Update>,
+    late_updates: VecDeque<Update>,
+    responses: VecDeque<Response>,
+    /// Times of the requests in the current window of each endpoint.
     windows: Vec<VecDeque<Instant>>,
     outcome: RateOutcome,
     active: Vec<bool>,
 }
 
-fn listed(number: usize) -> Endpoint {
+fn listed_endpoint(number: usize) -> Endpoint {
     Endpoint {
         id: Arc::from(format!("e-{number}")),
         born: None,
@@ -230,7 +239,7 @@
     }
 }
 
-fn peer(number: usize) -> SocketAddr {
+fn peer_address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 1, (number / 250) as u8, (number % 250) as u8], 1))
 }
 
@@ -245,36 +254,36 @@
                     endpoints: Endpoints::default(),
                     keys: Vec::new(),
                     domain: domain as u8,
-                    life: rng.random(),
-                    share: weight.powi(i32::from(plan.skew) * 2),
-                    due: rng.random_range(0.0..1.0),
-                    next_beat: now + Duration::from_millis(rng.random_range(0..100)),
+                    incarnation: rng.random(),
+                    caller_fraction: weight.powi(i32::from(plan.skew) * 2),
+                    pending: rng.random_range(0.0..1.0),
+                    next_gossip: now + Duration::from_millis(rng.random_range(0..100)),
                     peers: Peers::new(domain as u32),
-                    heard: HashMap::new(),
+                    last_updates: HashMap::new(),
                     sequence: 0,
                     down: false,
                     frozen: false,
-                    excused: now,
+                    exempt_until: now,
                 });
             }
         }
-        let all: f64 = nodes.iter().map(|node| node.share).sum();
+        let total: f64 = nodes.iter().map(|node| node.caller_fraction).sum();
         for node in &mut nodes {
-            node.share /= all;
-            node.open(plan, pacing);
+            node.caller_fraction /= total;
+            node.restart(plan, pacing);
         }
         let count = usize::from(plan.endpoints);
         Self {
             plan,
             pacing,
             rng,
-            begun: now,
+            start: now,
             now,
             nodes,
             tags: (0..count).map(|number| EngineTag::of(&format!("e-{number}"), None)).collect(),
-            tellings: VecDeque::new(),
-            late: VecDeque::new(),
-            answers: VecDeque::new(),
+            updates: VecDeque::new(),
+            late_updates: VecDeque::new(),
+            responses: VecDeque::new(),
             windows: vec![VecDeque::new(); count],
             outcome: RateOutcome::default(),
             active: vec![false; plan.faults.len()],
@@ -282,61 +291,61 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        self.mishaps();
+        self.now += TIME_STEP;
+        self.apply_faults();
         self.deliver();
         for index in 0..self.nodes.len() {
             let node = &self.nodes[index];
-            if !node.down && !node.frozen && self.now >= node.next_beat {
-                self.tell(index);
+            if !node.down && !node.frozen && self.now >= node.next_gossip {
+                self.send_updates(index);
             }
         }
         for index in 0..self.nodes.len() {
-            self.callers(index);
+            self.submit_requests(index);
         }
-        if self.now >= self.begun + CALM + STABLE {
-            let capacity = self.plan.rate() * f64::from(self.plan.endpoints);
-            self.outcome.capacity += capacity * STEP.as_secs_f64();
+        if self.now >= self.start + WARM_UP + SETTLE_TIME {
+            let capacity_per_s = self.plan.rate() * f64::from(self.plan.endpoints);
+            self.outcome.capacity += capacity_per_s * TIME_STEP.as_secs_f64();
         }
     }
 
-    /// Begins and ends what goes wrong.
-    fn mishaps(&mut self) {
+    /// Starts and ends the faults that are due.
+    fn apply_faults(&mut self) {
         let plan = self.plan;
         for (index, fault) in plan.faults.iter().enumerate() {
-            let begin = self.begun + CALM + Duration::from_millis(u64::from(fault.at));
+            let begin = self.start + WARM_UP + Duration::from_millis(u64::from(fault.at));
             let end = begin + Duration::from_millis(u64::from(fault.length));
             let active = self.now >= begin && self.now < end;
             let changed = std::mem::replace(&mut self.active[index], active) != active;
             for number in 0..self.nodes.len() {
                 if is_hit(fault.kind, number, self.nodes[number].domain) && (active || changed) {
-                    self.nodes[number].excused = self.now + STABLE;
+                    self.nodes[number].exempt_until = self.now + SETTLE_TIME;
                     if changed {
-                        self.change(number, fault.kind, active);
+                        self.set_fault(number, fault.kind, active);
                     }
                 }
             }
         }
     }
 
-    fn change(&mut self, number: usize, kind: FaultKind, begins: bool) {
-        let life = self.rng.random();
+    fn set_fault(&mut self, number: usize, kind: FaultKind, begins: bool) {
+        let incarnation = self.rng.random();
         let node = &mut self.nodes[number];
         match kind {
             FaultKind::Freeze { .. } => node.frozen = begins,
             FaultKind::Kill { .. } => {
                 node.down = begins;
-                node.life = life;
-                node.heard.clear();
+                node.incarnation = incarnation;
+                node.last_updates.clear();
                 node.peers = Peers::new(u32::from(node.domain));
-                node.open(self.plan, self.pacing);
+                node.restart(self.plan, self.pacing);
             }
-            // Cuts are looked up when something is sent.
+            // Partitions are evaluated when an update is sent.
             FaultKind::Cut { .. } => {}
         }
     }
 
-    fn is_cut(&self, a: u8, b: u8) -> bool {
+    fn is_partitioned(&self, a: u8, b: u8) -> bool {
         let active = self.plan.faults.iter().zip(&self.active).filter(|(_, active)| **active);
         active.into_iter().any(|(fault, _)| match fault.kind {
             FaultKind::Cut { domain } => (a == domain) != (b == domain),
@@ -344,143 +353,153 @@
         })
     }
 
-    fn tell(&mut self, from: usize) {
+    fn send_updates(&mut self, from: usize) {
         let others = self.nodes.len() - 1;
-        let beat = BEAT + BEAT_PEER * others.min(FANOUT) as u32;
-        let rounds = others.div_ceil(FANOUT).max(1) as u32;
+        let interval = GOSSIP_INTERVAL + GOSSIP_INTERVAL_PER_PEER * others.min(FANOUT_MAX) as u32;
+        let rounds = others.div_ceil(FANOUT_MAX).max(1) as u32;
         let (now, instances) = (self.now, self.nodes.len());
         let node = &mut self.nodes[from];
-        node.next_beat = now + beat * rounds;
+        node.next_gossip = now + interval * rounds;
         node.peers.remove_unresponsive(now);
-        let part = node.peers.reachable_share(now);
-        node.endpoints.rates().share_among(now, instances, part);
-        let news = Rc::new(node.endpoints.rates().reports(now));
+        let reachable_share = node.peers.reachable_share(now);
+        node.endpoints.rates().share_among(now, instances, reachable_share);
+        let reports = Rc::new(node.endpoints.rates().reports(now));
         node.sequence += 1;
-        let (life, sequence, domain) = (node.life, node.sequence, node.domain);
+        let (incarnation, sequence, domain) = (node.incarnation, node.sequence, node.domain);
         for to in 0..instances {
             if to == from {
                 continue;
             }
-            self.outcome.entries += news.len() as f64;
+            self.outcome.entries += reports.len() as f64;
             let lost = self.rng.random_range(0..100) < u32::from(self.plan.loss);
-            if lost || self.is_cut(domain, self.nodes[to].domain) {
+            if lost || self.is_partitioned(domain, self.nodes[to].domain) {
                 continue;
             }
-            let telling = |delay| Telling {
+            let update = |delay| Update {
                 at: now + delay,
                 from,
                 to,
                 domain,
-                next: beat * rounds,
-                life,
+                next_interval: interval * rounds,
+                incarnation,
                 sequence,
-                news: Rc::clone(&news),
+                reports: Rc::clone(&reports),
             };
-            // Some come twice, and some late.
+            // 1 in 40 updates is late, and 1 in 40 is delivered on time and again late.
             match self.rng.random_range(0..40) {
-                0 => self.late.push_back(telling(LATE)),
+                0 => self.late_updates.push_back(update(LATE_DELAY)),
                 1 => {
-                    self.tellings.push_back(telling(WAY));
-                    self.late.push_back(telling(LATE));
+                    self.updates.push_back(update(NETWORK_DELAY));
+                    self.late_updates.push_back(update(LATE_DELAY));
                 }
-                _ => self.tellings.push_back(telling(WAY)),
+                _ => self.updates.push_back(update(NETWORK_DELAY)),
             }
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        for queue in [&mut self.tellings, &mut self.late] {
-            while let Some(telling) = queue.pop_front_if(|telling| telling.at <= now) {
-                let node = &mut self.nodes[telling.to];
+        for queue in [&mut self.updates, &mut self.late_updates] {
+            while let Some(update) = queue.pop_front_if(|update| update.at <= now) {
+                let node = &mut self.nodes[update.to];
                 if !node.down && !node.frozen {
-                    node.told(now, &telling);
+                    node.receive_update(now, &update);
                 }
             }
         }
-        let named = (now >= self.begun + CALM).then_some(self.plan.rate());
-        while let Some(answer) = self.answers.pop_front_if(|answer| answer.at <= now) {
-            let node = &mut self.nodes[answer.to];
-            if !node.down && node.life == answer.life {
-                node.answered(now, answer.endpoint, self.tags[answer.endpoint], named);
+        let advertised_rate = (now >= self.start + WARM_UP).then_some(self.plan.rate());
+        while let Some(response) = self.responses.pop_front_if(|response| response.at <= now) {
+            let node = &mut self.nodes[response.to];
+            if !node.down && node.incarnation == response.incarnation {
+                node.receive_response(now, response.endpoint, self.tags[response.endpoint], advertised_rate);
             }
         }
     }
 
-    /// Callers of an instance ask.
-    fn callers(&mut self, index: usize) {
-        let (now, in_force) = (self.now, self.now >= self.begun + CALM + STABLE);
+    /// Submits the requests of an instance's callers that are due.
+    fn submit_requests(&mut self, index: usize) {
+        let (now, is_measured) = (self.now, self.now >= self.start + WARM_UP + SETTLE_TIME);
         let node = &mut self.nodes[index];
-        node.due += self.plan.demand() * node.share * STEP.as_secs_f64() * self.rng.random_range(0.0..2.0);
+        node.pending += self.plan.demand()
+            * node.caller_fraction
+            * TIME_STEP.as_secs_f64()
+            * self.rng.random_range(0.0..2.0);
         if node.down || node.frozen {
-            node.due = 0.0;
+            node.pending = 0.0;
         }
-        while node.due >= 1.0 {
-            node.due -= 1.0;
-            self.outcome.offered += f64::from(u8::from(in_force));
+        while node.pending >= 1.0 {
+            node.pending -= 1.0;
+            self.outcome.offered += f64::from(u8::from(is_measured));
             let Some(key) = node.endpoints.choose(now, Need::of(SERVICE, "all"), &mut self.rng) else {
                 continue;
             };
-            let endpoint = node.keys.iter().position(|&k| k == key).expect("it is listed");
+            let endpoint = node.keys.iter().position(|&k| k == key).expect("the endpoint is listed");
             node.endpoints.begin(now, key, 0);
             node.endpoints.rates().charge(now, self.tags[endpoint]);
-            self.answers.push_back(Answer { at: now + WORK, to: index, life: node.life, endpoint });
-            if !in_force {
+            self.responses.push_back(Response {
+                at: now + PROCESSING_TIME,
+                to: index,
+                incarnation: node.incarnation,
+                endpoint,
+            });
+            if !is_measured {
                 continue;
             }
             self.outcome.sent += 1.0;
-            if now < node.excused {
+            if now < node.exempt_until {
                 continue;
             }
             let window = &mut self.windows[endpoint];
             window.push_back(now);
             while window.pop_front_if(|at| *at + WINDOW <= now).is_some() {}
-            let allowed = self.plan.rate() * WINDOW.as_secs_f64() * OVER + SLACK;
+            let allowed = self.plan.rate() * WINDOW.as_secs_f64() * TOLERANCE_FACTOR + TOLERANCE_REQUESTS;
             self.outcome.max_window_fill = self.outcome.max_window_fill.max(window.len() as f64 / allowed);
         }
     }
 }
 
 impl Node {
-    /// Starts, and knows nothing.
-    fn open(&mut self, plan: &RatePlan, pacing: Pacing) {
+    /// Starts the instance without any knowledge.
+    fn restart(&mut self, plan: &RatePlan, pacing: Pacing) {
         self.endpoints = Endpoints::default();
         *self.endpoints.rates() = Rates::new(pacing);
         for number in 0..usize::from(plan.endpoints) {
-            self.endpoints.upsert(listed(number));
+            self.endpoints.upsert(listed_endpoint(number));
         }
         self.keys = (0..usize::from(plan.endpoints))
-            .map(|number| self.endpoints.key_of(&format!("e-{number}")).expect("it is listed"))
+            .map(|number| self.endpoints.key_of(&format!("e-{number}")).expect("the endpoint is listed"))
             .collect();
     }
 
-    fn told(&mut self, now: Instant, telling: &Telling) {
-        let last = self.heard.get(&telling.from);
-        if last.is_some_and(|&(life, number)| life == telling.life && number >= telling.sequence) {
+    fn receive_update(&mut self, now: Instant, update: &Update) {
+        let last = self.last_updates.get(&update.from);
+        if last.is_some_and(|&(incarnation, number)| {
+            incarnation == update.incarnation && number >= update.sequence
+        }) {
             return;
         }
-        self.heard.insert(telling.from, (telling.life, telling.sequence));
-        self.peers.observe(now, telling.from, u32::from(telling.domain), telling.next);
-        for news in telling.news.iter() {
-            if let Some(word) = news.observation {
-                self.endpoints.rates().merge_observation(now, news.endpoint, word);
+        self.last_updates.insert(update.from, (update.incarnation, update.sequence));
+        self.peers.observe(now, update.from, u32::from(update.domain), update.next_interval);
+        for report in update.reports.iter() {
+            if let Some(observation) = report.observation {
+                self.endpoints.rates().merge_observation(now, report.endpoint, observation);
             }
-            self.endpoints.rates().merge_sends(now, peer(telling.from), telling.life, *news);
+            self.endpoints.rates().merge_sends(now, peer_address(update.from), update.incarnation, *report);
         }
     }
 
-    fn answered(&mut self, now: Instant, endpoint: usize, tag: EngineTag, rate: Option<f64>) {
+    fn receive_response(&mut self, now: Instant, endpoint: usize, tag: EngineTag, rate: Option<f64>) {
         let key = self.keys[endpoint];
         self.endpoints.end(key, 0);
-        self.endpoints.learn(now, key, StepOutcome::Answered(WORK));
+        self.endpoints.learn(now, key, StepOutcome::Answered(PROCESSING_TIME));
         self.endpoints.rates().observe_response(now, tag, rate);
     }
 }
 
-/// Whether a mishap hits an instance.
+/// Whether a fault affects an instance.
 fn is_hit(kind: FaultKind, number: usize, domain: u8) -> bool {
     match kind {
-        FaultKind::Cut { domain: cut } => domain == cut,
+        FaultKind::Cut { domain: partitioned } => domain == partitioned,
         FaultKind::Kill { eighths } | FaultKind::Freeze { eighths } => {
             (number * 5) % 8 < usize::from(eighths)
         }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! How the cost of decisions and of control grows; the figures of docs/CAPACITY.md come from here.
+//! Measures the costs of decisions and of control by the size of a deployment, for docs/CAPACITY.md.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,50 +11,52 @@
 
 use crate::world::{Fault, Options, Side, World, scaled};
 
-/// Requests that each measurement of decisions routes.
+/// Number of requests in each measurement of decisions.
 const REQUESTS: u64 = 20_000;
-/// Virtual time that gossip is measured over, after a start.
-const START: Duration = Duration::from_secs(10);
-const SPAN: Duration = Duration::from_secs(30);
+/// Virtual time from the start of the instances to the start of the measurement of gossip.
+const WARM_UP: Duration = Duration::from_secs(10);
+/// Virtual time over which gossip is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(30);
 
-/// Cost of routing one request, at one size.
+/// Cost of routing one request in a deployment of one size.
 #[derive(Debug, Clone, Serialize)]
 pub struct DecisionCost {
-    /// Endpoints that the instance knows.
+    /// Number of endpoints in the deployment.
     pub endpoints: usize,
-    /// Endpoints of the pool that the request goes to.
+    /// Number of endpoints in the pool of the request.
     pub pool: usize,
-    /// Mean time of the step that takes a request and chooses its endpoints, in microseconds.
+    /// Mean time of the core step that accepts a request and selects its endpoints, in microseconds.
     pub choose_us: f64,
-    /// Mean time of all steps of a request together, in microseconds.
+    /// Mean time of all core steps of a request together, in microseconds.
     pub whole_us: f64,
 }
 
-/// Cost of control with no load, at one size.
+/// Cost of control without load in a deployment of one size.
 #[derive(Debug, Clone, Serialize)]
 pub struct ControlCost {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Messages that one instance sends a second.
+    /// Messages that one instance sends in a second.
     pub messages: f64,
-    /// Their bytes, without the transport's.
+    /// Bytes of these messages, without the overhead of the transport.
     pub bytes: f64,
-    /// Share of a core that one instance's core takes, the world's own work included.
+    /// Fraction of a processor core that one instance uses, including the work of the simulation.
     pub core: f64,
-    /// Resident memory for each instance in the world, in bytes.
+    /// Resident memory of the simulation for each instance, in bytes.
     pub memory: f64,
-    /// Time until a version is in force everywhere, all reading the platform.
+    /// Time until a version is active at all instances when all of them can read the platform.
     pub spread: Duration,
-    /// The same with only one of five domains reading it.
+    /// Time until a version is active at all instances when only those of one domain out of five can read the
+    /// platform.
     pub relayed: Duration,
 }
 
-/// Measures the routing of requests by an instance that owns every pool of `endpoints` endpoints.
+/// Measures the routing of requests by a single instance, which owns all pools, with `endpoints` endpoints.
 ///
 /// # Panics
-/// The core refuses a request although there is room, which would be a fault of it.
+/// If the core refuses a request although endpoints have capacity, which is a bug in the core.
 pub fn measure_decision(endpoints: usize) -> DecisionCost {
     let deployment = scaled(1, endpoints);
     let base = Instant::now();
@@ -80,7 +82,7 @@
         instance.step(base, event, &mut effects);
     }
     let pools = configuration.pools.len() as u64;
-    let (mut choose, mut whole) = (Duration::ZERO, Duration::ZERO);
+    let (mut choose, mut other_steps) = (Duration::ZERO, Duration::ZERO);
     let mut running: std::collections::VecDeque<AttemptId> = std::collections::VecDeque::new();
     for number in 0..REQUESTS {
         let now = base + Duration::from_micros(number);
@@ -102,7 +104,7 @@
             Effect::Prefill { attempt, .. } => Some(*attempt),
             _ => None,
         });
-        let attempt = attempt.expect("there is room for every request");
+        let attempt = attempt.expect("there is capacity for every request");
         let clock = Instant::now();
         instance.step(now, Event::Prefilled { attempt, bytes: 1, cached: 0 }, &mut effects);
         instance.step(now, Event::Imported { attempt }, &mut effects);
@@ -111,37 +113,52 @@
             let attempt = running.pop_front().expect("the queue is not empty");
             instance.step(now, Event::Finished { attempt, offset: 1, stored: None }, &mut effects);
         }
-        whole += clock.elapsed();
+        other_steps += clock.elapsed();
     }
-    let each = |time: Duration| time.as_secs_f64() * 1e6 / REQUESTS as f64;
+    let per_request = |time: Duration| time.as_secs_f64() * 1e6 / REQUESTS as f64;
     let pool = configuration.endpoints.iter().filter(|e| e.pool == configuration.pools[0].name).count();
-    DecisionCost { endpoints, pool, choose_us: each(choose), whole_us: each(choose + whole) }
+    DecisionCost {
+        endpoints,
+        pool,
+        choose_us: per_request(choose),
+        whole_us: per_request(choose + other_steps),
+    }
 }
 
-/// Measures what instances say to each other when nothing happens, and how fast a version spreads.
+/// Measures the messages between instances without load, and the time in which a version spreads.
 pub fn measure_control(instances: usize, endpoints: usize) -> ControlCost {
     let before = resident();
     let mut world = World::new(scaled(instances, endpoints), Options::default());
-    world.run_until(START);
+    world.run_until(WARM_UP);
     let (messages, bytes) = (world.tally().messages, world.tally().bytes);
     let clock = Instant::now();
-    world.run_until(START + SPAN);
+    world.run_until(WARM_UP + MEASURED_TIME);
     let took = clock.elapsed().as_secs_f64();
     let memory = resident().saturating_sub(before) as f64 / instances as f64;
-    let each = SPAN.as_secs_f64() * instances as f64;
-    let messages = (world.tally().messages - messages) as f64 / each;
-    let bytes = (world.tally().bytes - bytes) as f64 / each;
-    let spread = spread(&mut world);
+    let instance_seconds = MEASURED_TIME.as_secs_f64() * instances as f64;
+    let messages = (world.tally().messages - messages) as f64 / instance_seconds;
+    let bytes = (world.tally().bytes - bytes) as f64 / instance_seconds;
+    let spread = spread_time(&mut world);
     for domain in 1..5 {
         world.schedule(world.now(), Fault::Cut(Side::Domain(domain), Side::Platform));
     }
-    let pause = world.now() + Duration::from_secs(5);
-    world.run_until(pause);
-    let relayed = self::spread(&mut world);
-    ControlCost { instances, endpoints, messages, bytes, core: took / each, memory, spread, relayed }
+    let settled_at = world.now() + Duration::from_secs(5);
+    world.run_until(settled_at);
+    let relayed = spread_time(&mut world);
+    ControlCost {
+        instances,
+        endpoints,
+        messages,
+        bytes,
+        core: took / instance_seconds,
+        memory,
+        spread,
+        relayed,
+    }
 }
 
-fn spread(world: &mut World) -> Duration {
+/// Publishes a new version and returns the time until it is active at all instances, at most a minute.
+fn spread_time(world: &mut World) -> Duration {
     let start = world.now();
     let share = (start.as_secs() % 90) as u32 + 1;
     world.schedule(start, Fault::Share(share));
