--- a/crates/bench/tests/all/main.rs
+++ b/crates/bench/tests/all/main.rs
@@ -1,7 +1,7 @@
-//! The decision core under random faults in virtual time, and the same for faults that once broke something.
+//! Tests of the decision core in virtual time: with random faults, and with faults that once revealed a bug.
 //!
-//! Every run is drawn from fixed seeds, so the verdict is the same each time. `teaselshunt-bench chaos` runs as
-//! many others as one likes.
+//! All runs use fixed seeds, so that the results are reproducible. `teaselshunt-bench chaos` runs any number of
+//! other seeds.
 
 mod found;
 mod keys;
--- a/crates/bench/tests/all/policy.rs
+++ b/crates/bench/tests/all/policy.rs
@@ -1,23 +1,28 @@
-//! What the policy promises, as comparisons within one run; figures are in docs/POLICY.md.
+//! Guarantees of the routing policy, as comparisons between runs with the same load; figures are in docs/POLICY.md.
 
 use teaselshunt_bench::{Experiment, Policy, britasol, pindan};
 
-/// Eight instances choose decode slots for a nearly full pool. If each chose on lagging reports, they would
-/// overbook engines and throw finished prefills away; with one owner of the slots nothing is wasted.
+/// Eight instances select decode slots in a nearly full pool. If each instance selected slots by reports that lag,
+/// the instances would overbook engines and discard completed prefills. With one owner of the slots, no prefill is
+/// wasted.
 #[test]
 fn a_full_pool_wastes_no_prefill() {
     for deployment in [britasol(), pindan()] {
         let experiment = Experiment { deployment, load: 1.0, seed: 3, scenario: None };
         let ours = experiment.run(Policy::Ours);
-        let before = experiment.run(Policy::TwoChoices);
+        let two_choices = experiment.run(Policy::TwoChoices);
         assert!(ours.wasted < 0.01, "{}", ours.wasted);
-        assert!(before.wasted > 0.03, "the load is too light to show anything: {}", before.wasted);
-        assert!(ours.goodput_first > 1.3 * before.goodput_first);
+        assert!(
+            two_choices.wasted > 0.03,
+            "the load is too low to show a difference: {}",
+            two_choices.wasted
+        );
+        assert!(ours.goodput_first > 1.3 * two_choices.goodput_first);
     }
 }
 
-/// Half as many requests again as the engines can do. Served in the order of arrival, all would be too late;
-/// those that can still be in time go first, and most of the goodput stays.
+/// The load is 1.5 times the maximum throughput of the engines. In the order of arrival all requests would be late.
+/// Requests that can still be on time are served first, which keeps most of the goodput.
 #[test]
 fn overload_does_not_collapse() {
     let at = |load| Experiment { deployment: britasol(), load, seed: 3, scenario: None }.run(Policy::Ours);
--- a/crates/bench/tests/all/random.rs
+++ b/crates/bench/tests/all/random.rs
@@ -1,12 +1,13 @@
-//! Random plans of faults: kills, freezes, cuts, outages, stalls, silences, drains and planned stops.
+//! Random fault plans: kills, freezes, network partitions, outages, stalls, disconnected streams, drains and
+//! graceful shutdowns.
 
 use quickcheck::{Arbitrary, Gen};
 use teaselshunt_bench::Plan;
 
-/// Size given to the generator; plans bound themselves.
+/// Size parameter of the generator; plans limit their own size.
 const SIZE: usize = 100;
 
-fn hold(seeds: std::ops::Range<u64>) {
+fn assert_no_violations(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let plan = Plan::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed));
         let violations = plan.run().violations;
@@ -14,21 +15,22 @@
     }
 }
 
-/// Callers of both users' fleets send logs, lookups and bookings while everything around them fails at random
-/// times. No call that may not be repeated runs twice, nothing is answered twice or never, no "not run" is a
-/// lie, versions only grow, drained endpoints get nothing new, stops cut nothing off, and no memory stays held.
+/// Callers of the deployments of both users submit logs, lookups and bookings while faults of all kinds occur at
+/// random times. The invariants: no non-idempotent call runs twice; every request is answered exactly once; nothing
+/// that is reported as not run has run; versions only grow; draining endpoints get no new work; graceful shutdowns
+/// break no request; and no memory stays occupied.
 #[test]
-fn what_must_always_hold_holds_under_random_faults_a() {
-    hold(20_000..20_012);
+fn invariants_hold_under_random_faults_a() {
+    assert_no_violations(20_000..20_012);
 }
 
-/// The same with other seeds, on another thread.
+/// The same with other seeds, on another test thread.
 #[test]
-fn what_must_always_hold_holds_under_random_faults_b() {
-    hold(30_000..30_012);
+fn invariants_hold_under_random_faults_b() {
+    assert_no_violations(30_000..30_012);
 }
 
-/// The same plan gives the same run, or a found seed would be worth nothing.
+/// The same plan results in the same run; otherwise the seed of a violation could not reproduce it.
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let plan = Plan::arbitrary(&mut Gen::from_size_and_seed(SIZE, 976));
