--- a/crates/bench/src/commands/policy.rs
+++ b/crates/bench/src/commands/policy.rs
@@ -1,5 +1,5 @@
-//! `policy`: compares the goodput and the wasted prefill of the routing policy with those of simple policies and
-//! of a bound.
+//! `policy`: compares the goodput and the wasted prefill of the routing policy with those of simple
+//! policies and of a bound.
 
 use gumdrop::Options;
 use teaselshunt_bench::{Deployment, Experiment, Outcome, Policy, Scenario, britasol, pindan};
--- a/crates/bench/src/commands/rates.rs
+++ b/crates/bench/src/commands/rates.rs
@@ -82,8 +82,8 @@
     plan
 }
 
-/// Prints the row of a pacing. The used capacity is that of plans whose callers request more than the capacity,
-/// and the refused fraction that of plans whose callers request less; both without faults.
+/// Prints the row of a pacing. The used capacity is that of plans whose callers request more than the
+/// capacity, and the refused fraction that of plans whose callers request less; both without faults.
 fn print_row(pacing: Pacing, rows: &[Row], index: usize) {
     let outcomes = || rows.iter().map(|row| (&row.1, &row.2[index]));
     let over = outcomes().filter(|(_, outcome)| outcome.exceeds_bound()).count();
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,15 +1,16 @@
 //! Experiments with the real decision core in virtual time.
 //!
-//! A [`World`] simulates a deployment in one process. It runs many [`Instance`](teaselshunt_core::Instance)s
-//! through the same entry point that the daemon uses, against small models of engines, services, the platform
-//! and the network. The simulation has two purposes: it measures the routing policy under load, and it searches
-//! for violations of invariants under random faults. It models only times and losses. Protocols, sockets and
-//! processes are tested with the daemon itself.
+//! A [`World`] simulates a deployment in one process. It runs many
+//! [`Instance`](teaselshunt_core::Instance)s through the same entry point that the daemon uses, against
+//! small models of engines, services, the platform and the network. The simulation has two purposes: it
+//! measures the routing policy under load, and it searches for violations of invariants under random
+//! faults. It models only times and losses. Protocols, sockets and processes are tested with the daemon
+//! itself.
 //!
 //! All random draws come from one seed: the same seed results in the same run.
 //!
-//! [`QuotaPlan`] and [`RatePlan`] test the limits of teams and the rates of endpoints with random faults in the
-//! same manner, without a [`World`].
+//! [`QuotaPlan`] and [`RatePlan`] test the limits of teams and the rates of endpoints with random faults in
+//! the same manner, without a [`World`].
 
 mod plan;
 mod policy;
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -28,8 +28,8 @@
 pub enum Policy {
     /// The policy of the router.
     Ours,
-    /// Each instance selects the less loaded of two random endpoints by itself, as the first version of the router
-    /// did.
+    /// Each instance selects the less loaded of two random endpoints by itself, as the first version of the
+    /// router did.
     TwoChoices,
     /// A random endpoint.
     Random,
@@ -119,8 +119,8 @@
     pub load: f64,
     /// Requests a second.
     pub offered: f64,
-    /// Responses a second within both targets, where the time to the first token starts at the submission that
-    /// was answered.
+    /// Responses a second within both targets, where the time to the first token starts at the submission
+    /// that was answered.
     pub goodput: f64,
     /// Responses a second within both targets, where the time to the first token starts at the caller's first
     /// submission.
@@ -266,8 +266,8 @@
     }
 }
 
-/// Seconds from the end of the fault until the mean goodput of 3 s has recovered to 95% of its mean before the
-/// fault.
+/// Seconds from the end of the fault until the mean goodput of 3 s has recovered to 95% of its mean before
+/// the fault.
 fn recovery(tally: &Tally) -> Option<u64> {
     let good = |second: u64| tally.good_by_second.get(&second).copied().unwrap_or(0) as f64;
     let mean = |from: u64, to: u64| (from..to).map(good).sum::<f64>() / (to - from) as f64;
--- a/crates/bench/src/quotas.rs
+++ b/crates/bench/src/quotas.rs
@@ -5,7 +5,8 @@
 //! duplicated and delayed.
 //!
 //! The result is measured on the sum of all admissions. No window may contain more than the limit and its
-//! tolerance. A team that requests less than its limit without any fault must have almost no requests refused.
+//! tolerance. A team that requests less than its limit without any fault must have almost no requests
+//! refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -93,8 +94,8 @@
     pub domains: Vec<u8>,
     /// Requested units, in tenths of the limit.
     pub demand: u8,
-    /// How unevenly callers are spread over instances: 0 is almost even, and with higher values fewer instances
-    /// get most callers.
+    /// How unevenly callers are spread over instances: 0 is almost even, and with higher values fewer
+    /// instances get most callers.
     pub skew: u8,
     /// Percentage of updates that are lost.
     pub loss: u8,
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -5,9 +5,9 @@
 //! instances are lost, duplicated and delayed.
 //!
 //! The result is measured at the endpoints. In no window may an endpoint get more than [`TOLERANCE_FACTOR`]
-//! times its rate and [`TOLERANCE_REQUESTS`] requests. Only requests of instances without a recent fault count.
-//! The capacity of the service must be used, and callers who request less than the capacity must have almost no
-//! requests refused.
+//! times its rate and [`TOLERANCE_REQUESTS`] requests. Only requests of instances without a recent fault
+//! count. The capacity of the service must be used, and callers who request less than the capacity must
+//! have almost no requests refused.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -37,8 +37,8 @@
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Step of virtual time.
 const TIME_STEP: Duration = Duration::from_millis(10);
-/// Gossip interval without peers, and its increase for each peer. At most [`FANOUT_MAX`] peers get an update in
-/// one interval; with more peers, an update to all of them takes several intervals.
+/// Gossip interval without peers, and its increase for each peer. At most [`FANOUT_MAX`] peers get an
+/// update in one interval; with more peers, an update to all of them takes several intervals.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(25);
 const GOSSIP_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 const FANOUT_MAX: usize = 80;
@@ -66,8 +66,8 @@
     pub rate: u16,
     /// Requested rate, in tenths of the capacity of all endpoints.
     pub demand: u8,
-    /// How unevenly callers are spread over instances: 0 is almost even, and with higher values fewer instances
-    /// get most callers.
+    /// How unevenly callers are spread over instances: 0 is almost even, and with higher values fewer
+    /// instances get most callers.
     pub skew: u8,
     /// Percentage of updates that are lost.
     pub loss: u8,
--- a/crates/bench/src/world/callers.rs
+++ b/crates/bench/src/world/callers.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Draws a request for a long log or job sheet, of 300 to 6,000 prompt tokens; shorter ones are more likely.
+    /// Draws a request for a long log or job sheet, of 300 to 6,000 prompt tokens; shorter ones are more
+    /// likely.
     fn long_request(&mut self) -> RequestSpec {
         let names = self.deployment.long_models;
         let name = names[self.rng.random_range(0..names.len())];
@@ -177,8 +178,8 @@
         self.schedule_at(at, SimEvent::Submit { caller });
     }
 
-    /// Submits a request that crashes every engine that starts to generate for it. Requests with the same number
-    /// have the same fingerprint and different callers.
+    /// Submits a request that crashes every engine that starts to generate for it. Requests with the same
+    /// number have the same fingerprint and different callers.
     pub(super) fn schedule_crashing_request(&mut self, number: usize) {
         let spec = self.long_request();
         self.schedule_request(self.now, spec);
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Submits a request through the load balancer, which selects any running instance. It does not notice that
-    /// an instance is frozen.
+    /// Submits a request through the load balancer, which selects any running instance. It does not notice
+    /// that an instance is frozen.
     pub(super) fn submit(&mut self, caller: usize) {
         let running: Vec<usize> = (0..self.nodes.len()).filter(|&i| self.nodes[i].is_running()).collect();
         let now_ms = 1_800_000_000_000 + self.now.as_millis() as u64;
@@ -311,7 +312,8 @@
         self.tally.class(&class).refused += 1;
     }
 
-    /// Ends all faults, waits until the simulation has settled, and records what must not remain as violations.
+    /// Ends all faults, waits until the simulation has settled, and records what must not remain as
+    /// violations.
     pub fn settle_and_check(&mut self) {
         self.heal_all();
         self.run_until(self.now + Duration::from_mins(3));
--- a/crates/bench/src/world/deployment.rs
+++ b/crates/bench/src/world/deployment.rs
@@ -30,8 +30,8 @@
     Deployment { configuration, instances: list.instances, long_models, quick_model, service }
 }
 
-/// A deployment of any size: instances and endpoints are spread over five domains, there is one pool for every
-/// 24 endpoints, and a third of the endpoints of a pool are for prefill.
+/// A deployment of any size: instances and endpoints are spread over five domains, there is one pool for
+/// every 24 endpoints, and a third of the endpoints of a pool are for prefill.
 pub fn scaled(instances: usize, endpoints: usize) -> Deployment {
     let mut deployment = britasol();
     let c = &mut deployment.configuration;
--- a/crates/bench/src/world/drivers.rs
+++ b/crates/bench/src/world/drivers.rs
@@ -260,8 +260,8 @@
         }
     }
 
-    /// Checks new work at an endpoint: its request must not have been reported as not run, and the endpoint must
-    /// not be draining.
+    /// Checks new work at an endpoint: its request must not have been reported as not run, and the endpoint
+    /// must not be draining.
     pub(super) fn check_new_work(&mut self, endpoint: usize, job: &Job) {
         let request = job.attempt.request;
         self.reached_endpoint.insert(request);
--- a/crates/bench/src/world/faults.rs
+++ b/crates/bench/src/world/faults.rs
@@ -41,7 +41,8 @@
     Refuse(usize),
     /// The endpoint accepts new work again.
     RefuseEnd(usize),
-    /// The streams of a decode engine lose the connections to their instances, and the engine does not notice.
+    /// The streams of a decode engine lose the connections to their instances, and the engine does not
+    /// notice.
     Silence(usize),
     /// A caller submits one of two requests that crash every engine that starts to generate for them.
     Deadly(usize),
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Drains an endpoint or ends its draining. Only one endpoint drains at a time, to keep endpoints of every
-    /// kind active: what is served without them is the operators' decision and not the router's.
+    /// Drains an endpoint or ends its draining. Only one endpoint drains at a time, to keep endpoints of
+    /// every kind active: what is served without them is the operators' decision and not the router's.
     fn drain(&mut self, endpoint: usize, drain: bool) {
         if drain && !self.draining.is_empty() {
             return;
--- a/crates/bench/src/world/mod.rs
+++ b/crates/bench/src/world/mod.rs
@@ -1,10 +1,10 @@
 //! Discrete-event simulation of a deployment in virtual time.
 //!
-//! A [`World`] handles simulation events in the order of their times; events at the same time are handled in
-//! the order in which they were scheduled. Handling an event changes the modelled parts (processes of
-//! instances, endpoints, callers, the network and the platform) and schedules further events. Virtual time and
-//! the random generator are the only inputs besides the deployment and the options, so that a seed determines
-//! the run.
+//! A [`World`] handles simulation events in the order of their times; events at the same time are handled
+//! in the order in which they were scheduled. Handling an event changes the modelled parts (processes of
+//! instances, endpoints, callers, the network and the platform) and schedules further events. Virtual time
+//! and the random generator are the only inputs besides the deployment and the options, so that a seed
+//! determines the run.
 
 mod callers;
 mod crashes;
--- a/crates/bench/src/world/network.rs
+++ b/crates/bench/src/world/network.rs
@@ -85,8 +85,8 @@
         base.mul_f64(rng.random_range(0.8..1.6))
     }
 
-    /// Queues a transfer of `bytes` on the link between two domains, behind all earlier transfers, and returns
-    /// the time at which it is complete.
+    /// Queues a transfer of `bytes` on the link between two domains, behind all earlier transfers, and
+    /// returns the time at which it is complete.
     pub(super) fn transfer(&mut self, now: Duration, from: usize, to: usize, bytes: u64) -> Duration {
         let link = ordered_pair(from, to);
         let rate = self.link_rates.get(&link).copied().unwrap_or(DEFAULT_LINK_BYTES_PER_S);
--- a/crates/bench/src/world/node.rs
+++ b/crates/bench/src/world/node.rs
@@ -15,8 +15,8 @@
     pub(super) entry: InstanceEntry,
     pub(super) id: InstanceId,
     pub(super) domain: usize,
-    /// Counts the starts and ends of the process. An event that belongs to one process carries the count, and is
-    /// dropped if that process has ended.
+    /// Counts the starts and ends of the process. An event that belongs to one process carries the count,
+    /// and is dropped if that process has ended.
     pub(super) start_count: u32,
     /// The decision core while the process runs.
     pub(super) instance: Option<Instance>,
--- a/crates/bench/src/world/tally.rs
+++ b/crates/bench/src/world/tally.rs
@@ -14,8 +14,8 @@
     pub offered: u64,
     /// Complete responses.
     pub answered: u64,
-    /// Complete responses within both targets, where the time to the first token starts at the submission that
-    /// was answered.
+    /// Complete responses within both targets, where the time to the first token starts at the submission
+    /// that was answered.
     pub good: u64,
     /// The same, where the time to the first token starts at the caller's first submission.
     pub good_first: u64,
--- a/crates/bench/tests/all/found.rs
+++ b/crates/bench/tests/all/found.rs
@@ -7,9 +7,9 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// A patch sets the share of the only site with decode engines of a pool to zero. Lookups waited for slots that
-/// could not become free, were refused with a `Retry-After` delay of minutes, and some had no answer at the end
-/// of the run. They must be refused at once, because no endpoint serves them.
+/// A patch sets the share of the only site with decode engines of a pool to zero. Lookups waited for slots
+/// that could not become free, were refused with a `Retry-After` delay of minutes, and some had no answer
+/// at the end of the run. They must be refused at once, because no endpoint serves them.
 #[test]
 fn share_moved_away_from_the_only_decode_site() {
     assert_no_violations(
@@ -29,8 +29,9 @@
     );
 }
 
-/// A booking with a key runs, and its instance is killed. The retry arrives in the socket buffer of a frozen
-/// instance and is read after the horizon, when no home has a record of the key. The booking ran a second time.
+/// A booking with a key runs, and its instance is killed. The retry arrives in the socket buffer of a
+/// frozen instance and is read after the horizon, when no home has a record of the key. The booking ran a
+/// second time.
 #[test]
 fn keyed_call_that_outlasts_the_horizon_in_a_frozen_instance() {
     let faults = [
@@ -54,18 +55,18 @@
     assert_no_violations(false, 1_800_513_854_421_449_716, &faults);
 }
 
-/// Requests reserve decode slots while their prefills wait. The endpoint begins to drain, and a frozen instance
-/// resumes with a long queue. The reserved slots were used more than 6 s later.
+/// Requests reserve decode slots while their prefills wait. The endpoint begins to drain, and a frozen
+/// instance resumes with a long queue. The reserved slots were used more than 6 s later.
 #[test]
 fn slots_kept_at_an_endpoint_that_drains() {
     let faults = [(4_582, Fault::Freeze(13)), (18_111, Fault::Freeze(18)), (52_154, Fault::Drain(34))];
     assert_no_violations(true, 4_824_007_585_132_824_449, &faults);
 }
 
-/// An instance is killed with streams at engines, removed from the list, and started again under its name. The
-/// members had removed its earlier incarnation with the list entry, and so did not recognize the new process as
-/// another incarnation. The owner of the pool could not distinguish the work of the earlier incarnation from
-/// live work, and two engines held that work for ever.
+/// An instance is killed with streams at engines, removed from the list, and started again under its name.
+/// The members had removed its earlier incarnation with the list entry, and so did not recognize the new
+/// process as another incarnation. The owner of the pool could not distinguish the work of the earlier
+/// incarnation from live work, and two engines held that work for ever.
 #[test]
 fn work_of_a_former_life_after_the_list_dropped_it() {
     assert_no_violations(
@@ -75,9 +76,9 @@
     );
 }
 
-/// Two instances that monitored each other are killed during an outage of the platform and started again. No
-/// running instance knows their earlier incarnations, and so none could distinguish their old streams from live
-/// ones. A starting process must ask every engine for work of its own earlier incarnations.
+/// Two instances that monitored each other are killed during an outage of the platform and started again.
+/// No running instance knows their earlier incarnations, and so none could distinguish their old streams
+/// from live ones. A starting process must ask every engine for work of its own earlier incarnations.
 #[test]
 fn work_of_a_former_life_when_its_watchers_died_too() {
     let faults = [(1_981, Fault::Outage), (10_477, Fault::Kill(43)), (17_642, Fault::Kill(4))];
@@ -92,9 +93,9 @@
 }
 
 /// A call with a key runs, and the home of its key is killed and started again. Instances that were frozen
-/// meanwhile are listed again, one of them becomes the home of the key, and it asks the previous home. The new
-/// process of the previous home has no record of the key, which was understood as "never granted". The retry
-/// ran the call a second time.
+/// meanwhile are listed again, one of them becomes the home of the key, and it asks the previous home. The
+/// new process of the previous home has no record of the key, which was understood as "never granted". The
+/// retry ran the call a second time.
 #[test]
 fn previous_home_has_no_record_after_a_restart() {
     let faults = [
@@ -108,19 +109,20 @@
     assert_no_violations(false, 6_346_730_226_550_437_374, &faults);
 }
 
-/// The load has moved to the only site in a domain, and a network partition separates it from another domain until
-/// the load ends. Callers of long requests are refused at once with a `Retry-After` delay each time, and retry up
-/// to six times; some are served only 4 minutes after all faults have ended. Every submission must be answered
-/// within its deadline, and every caller must have a final answer within the time that its submissions may take.
+/// The load has moved to the only site in a domain, and a network partition separates it from another
+/// domain until the load ends. Callers of long requests are refused at once with a `Retry-After` delay each
+/// time, and retry up to six times; some are served only 4 minutes after all faults have ended. Every
+/// submission must be answered within its deadline, and every caller must have a final answer within the
+/// time that its submissions may take.
 #[test]
 fn callers_without_an_answer_after_a_partition_of_the_only_site() {
     let faults = [(1, Fault::Share(122)), (43_100, Fault::Cut(Side::Domain(0), Side::Domain(2)))];
     assert_no_violations(true, 7_772_869_272_280_670_474, &faults);
 }
 
-/// A stream stalls and is resumed at the same engine, which is polled for its load at the same moment. The report
-/// contains the earlier attempt, which is not the current one any more, and which was cancelled as an orphan. The
-/// next attempt held the memory of the engine for ever.
+/// A stream stalls and is resumed at the same engine, which is polled for its load at the same moment. The
+/// report contains the earlier attempt, which is not the current one any more, and which was cancelled as
+/// an orphan. The next attempt held the memory of the engine for ever.
 #[test]
 fn stream_taken_up_while_its_engine_reports() {
     let faults = [
--- a/crates/bench/tests/all/keys.rs
+++ b/crates/bench/tests/all/keys.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys under failures that make callers retry: a call with a key runs at most once, whatever fails at
-//! the homes of the keys.
+//! Idempotency keys under failures that make callers retry: a call with a key runs at most once, whatever
+//! fails at the homes of the keys.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
 /// The instances have been running for longer than the horizon when the calls start.
 const SHORT_HORIZON: CallLoad = CallLoad { horizon_s: 10, from: 30_000, stall: 31_000 };
 
-/// Runs a load of calls until 45 s, with services that answer again from 40 s on. Returns the number of retries and
-/// the violations.
+/// Runs a load of calls until 45 s, with services that answer again from 40 s on. Returns the number of
+/// retries and the violations.
 fn run(mut deployment: Deployment, seed: u64, call_load: CallLoad, faults: Faults) -> (u64, Vec<String>) {
     deployment.configuration.policy.horizon_s = call_load.horizon_s;
     deployment.configuration.policy.skew_ms = 100;
@@ -62,9 +62,9 @@
     }
 }
 
-/// Instances are killed one after the other while calls run. Callers retry through other instances. The homes of
-/// their keys are among the killed instances, and the new homes after the change of the list have no records. They
-/// must not grant the keys.
+/// Instances are killed one after the other while calls run. Callers retry through other instances. The
+/// homes of their keys are among the killed instances, and the new homes after the change of the list have
+/// no records. They must not grant the keys.
 #[test]
 fn homes_are_killed() {
     assert_at_most_once("killed", |s| {
@@ -72,8 +72,9 @@
     });
 }
 
-/// Instances are frozen, the list drops them, keys get new homes, and other instances are killed so that callers
-/// retry. Then the frozen instances resume with their old list and handle the requests in their socket buffers.
+/// Instances are frozen, the list drops them, keys get new homes, and other instances are killed so that
+/// callers retry. Then the frozen instances resume with their old list and handle the requests in their
+/// socket buffers.
 #[test]
 fn homes_freeze_and_resume_after_the_list_dropped_them() {
     assert_at_most_once("frozen", |s| {
@@ -108,11 +109,11 @@
     });
 }
 
-/// A network partition separates a failure domain from the platform and from the other domains, and the domain
-/// keeps its old list. The others get a list without the domain, their new homes grant keys, the calls run, and
-/// the instances that sent them are killed. The callers retry, also through the partitioned domain, where the old
-/// homes of the same keys are still running. An old home must detect that its grant lease has expired, otherwise
-/// the call runs a second time.
+/// A network partition separates a failure domain from the platform and from the other domains, and the
+/// domain keeps its old list. The others get a list without the domain, their new homes grant keys, the
+/// calls run, and the instances that sent them are killed. The callers retry, also through the partitioned
+/// domain, where the old homes of the same keys are still running. An old home must detect that its grant
+/// lease has expired, otherwise the call runs a second time.
 #[test]
 fn homes_are_cut_off_with_an_old_list() {
     assert_at_most_once("cut off", |s| {
@@ -124,9 +125,9 @@
     });
 }
 
-/// A home that has been running for longer than the horizon grants keys and is killed. Its next incarnation asked
-/// the runner-up, which had never granted these keys, and concluded that they had never been granted. The bookings
-/// ran a second time.
+/// A home that has been running for longer than the horizon grants keys and is killed. Its next incarnation
+/// asked the runner-up, which had never granted these keys, and concluded that they had never been granted.
+/// The bookings ran a second time.
 #[test]
 fn a_home_restarts_in_a_fleet_that_is_older_than_the_horizon() {
     assert_at_most_once_with(SHORT_HORIZON, "older than the horizon", |s| {
@@ -136,9 +137,9 @@
     });
 }
 
-/// An instance shuts down gracefully, hands over its records and starts again before the list has changed. Its next
-/// incarnation grants keys and is killed. The following homes took the records that were handed over for complete,
-/// and bookings that the second incarnation had granted ran a second time.
+/// An instance shuts down gracefully, hands over its records and starts again before the list has changed.
+/// Its next incarnation grants keys and is killed. The following homes took the records that were handed
+/// over for complete, and bookings that the second incarnation had granted ran a second time.
 #[test]
 fn homes_hand_over_come_back_and_are_killed() {
     assert_at_most_once("restarted after a shutdown", |s| {
@@ -148,9 +149,9 @@
     });
 }
 
-/// A home is killed and started again, and callers book with keys that were created after that start. No call with
-/// such a key can have run. A home that considered the keys older than its start answered "unknown" until the
-/// horizon had passed.
+/// A home is killed and started again, and callers book with keys that were created after that start. No
+/// call with such a key can have run. A home that considered the keys older than its start answered
+/// "unknown" until the horizon had passed.
 #[test]
 fn keys_made_after_a_start_are_granted() {
     for seed in 0..8 {
@@ -171,9 +172,10 @@
     }
 }
 
-/// A failure domain is partitioned, the list drops it, and its keys get other homes, which grant them. The partition
-/// ends and the list contains the domain again. The homes in the domain have not seen the lists without it, and did
-/// not ask the homes by these lists. Bookings that had run meanwhile, and whose callers retried, ran a second time.
+/// A failure domain is partitioned, the list drops it, and its keys get other homes, which grant them. The
+/// partition ends and the list contains the domain again. The homes in the domain have not seen the lists
+/// without it, and did not ask the homes by these lists. Bookings that had run meanwhile, and whose callers
+/// retried, ran a second time.
 #[test]
 fn homes_return_that_missed_a_list() {
     assert_at_most_once("missed a list", |s| {
--- a/crates/bench/tests/all/main.rs
+++ b/crates/bench/tests/all/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the decision core in virtual time: with random faults, and with faults that once revealed a bug.
 //!
-//! All runs use fixed seeds, so that the results are reproducible. `teaselshunt-bench chaos` runs any number of
-//! other seeds.
+//! All runs use fixed seeds, so that the results are reproducible. `teaselshunt-bench chaos` runs any
+//! number of other seeds.
 
 mod found;
 mod keys;
--- a/crates/bench/tests/all/policy.rs
+++ b/crates/bench/tests/all/policy.rs
@@ -1,10 +1,11 @@
-//! Guarantees of the routing policy, as comparisons between runs with the same load; figures are in docs/POLICY.md.
+//! Guarantees of the routing policy, as comparisons between runs with the same load; figures are in
+//! docs/POLICY.md.
 
 use teaselshunt_bench::{Experiment, Policy, britasol, pindan};
 
-/// Eight instances select decode slots in a nearly full pool. If each instance selected slots by reports that lag,
-/// the instances would overbook engines and discard completed prefills. With one owner of the slots, no prefill is
-/// wasted.
+/// Eight instances select decode slots in a nearly full pool. If each instance selected slots by reports
+/// that lag, the instances would overbook engines and discard completed prefills. With one owner of the
+/// slots, no prefill is wasted.
 #[test]
 fn a_full_pool_wastes_no_prefill() {
     for deployment in [britasol(), pindan()] {
@@ -21,8 +22,8 @@
     }
 }
 
-/// The load is 1.5 times the maximum throughput of the engines. In the order of arrival all requests would be late.
-/// Requests that can still be on time are served first, which keeps most of the goodput.
+/// The load is 1.5 times the maximum throughput of the engines. In the order of arrival all requests would
+/// be late. Requests that can still be on time are served first, which keeps most of the goodput.
 #[test]
 fn overload_does_not_collapse() {
     let at = |load| Experiment { deployment: britasol(), load, seed: 3, scenario: None }.run(Policy::Ours);
--- a/crates/bench/tests/all/quotas.rs
+++ b/crates/bench/tests/all/quotas.rs
@@ -11,8 +11,8 @@
     QuotaPlan::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed))
 }
 
-/// A team requests up to nine times its limit while instances are partitioned, killed or frozen, and updates are
-/// lost, duplicated or late. In either mode no window contains more than limit and tolerance.
+/// A team requests up to nine times its limit while instances are partitioned, killed or frozen, and
+/// updates are lost, duplicated or late. In either mode no window contains more than limit and tolerance.
 #[test]
 fn no_window_contains_more_than_limit_and_tolerance() {
     for seed in 1..400 {
@@ -23,8 +23,8 @@
     }
 }
 
-/// A team below its limit has almost no requests refused while there is no fault, even if its callers are spread
-/// unevenly over the instances.
+/// A team below its limit has almost no requests refused while there is no fault, even if its callers are
+/// spread unevenly over the instances.
 #[test]
 fn a_team_below_its_limit_is_almost_never_refused() {
     for seed in 1..100 {
@@ -34,9 +34,9 @@
     }
 }
 
-/// All instances are killed and started again during a network partition that began with the flood, at nine times
-/// the limit. The level that both sides have at the start of the partition is divided between them; without that,
-/// this plan exceeded the bound by 4%.
+/// All instances are killed and started again during a network partition that began with the flood, at nine
+/// times the limit. The level that both sides have at the start of the partition is divided between them;
+/// without that, this plan exceeded the bound by 4%.
 #[test]
 fn a_restart_of_all_instances_during_a_partition_keeps_to_the_bound() {
     let outcome = plan(12_021).run(QuotaMode::Shared);
@@ -52,8 +52,8 @@
     }
 }
 
-/// During a long network partition, the smaller side must not be starved: both sides together get the limit, except
-/// for what the detection of the partition costs.
+/// During a long network partition, the smaller side must not be starved: both sides together get the
+/// limit, except for what the detection of the partition costs.
 #[test]
 fn a_partition_starves_no_side() {
     let partition = TimedFault { kind: FaultKind::Cut { domain: 0 }, at: 2000, length: 16_000 };
--- a/crates/bench/tests/all/random.rs
+++ b/crates/bench/tests/all/random.rs
@@ -15,10 +15,10 @@
     }
 }
 
-/// Callers of the deployments of both users submit logs, lookups and bookings while faults of all kinds occur at
-/// random times. The invariants: no non-idempotent call runs twice; every request is answered exactly once; nothing
-/// that is reported as not run has run; versions only grow; draining endpoints get no new work; graceful shutdowns
-/// break no request; and no memory stays occupied.
+/// Callers of the deployments of both users submit logs, lookups and bookings while faults of all kinds
+/// occur at random times. The invariants: no non-idempotent call runs twice; every request is answered
+/// exactly once; nothing that is reported as not run has run; versions only grow; draining endpoints get no
+/// new work; graceful shutdowns break no request; and no memory stays occupied.
 #[test]
 fn invariants_hold_under_random_faults_a() {
     assert_no_violations(20_000..20_012);
--- a/crates/bench/tests/all/rates.rs
+++ b/crates/bench/tests/all/rates.rs
@@ -13,8 +13,9 @@
     RatePlan::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed))
 }
 
-/// Callers request up to five times the capacity of the endpoints, from instances that are partitioned, killed or
-/// frozen, while updates are lost, duplicated or late. No endpoint gets more than it may in any window.
+/// Callers request up to five times the capacity of the endpoints, from instances that are partitioned,
+/// killed or frozen, while updates are lost, duplicated or late. No endpoint gets more than it may in any
+/// window.
 #[test]
 fn no_endpoint_exceeds_its_bound() {
     let small = (1..).filter(|&seed| plan(seed).instances() <= INSTANCES_MAX);
@@ -30,8 +31,8 @@
     RatePlan { seed, domains, endpoints: 4, rate: 40, demand, skew: 1, loss: 2, faults }
 }
 
-/// The capacity of endpoints is used if callers request enough. A router that keeps to the rates by sending too
-/// little would fail here.
+/// The capacity of endpoints is used if callers request enough. A router that keeps to the rates by sending
+/// too little would fail here.
 #[test]
 fn capacity_of_endpoints_is_used() {
     for seed in 1..6 {
@@ -49,9 +50,9 @@
     }
 }
 
-/// Hundreds of instances, whose gossip interval is about 0.5 s, get five times the capacity of endpoints that accept
-/// 20 requests a second each. When every request tried all endpoints, an endpoint with capacity got 1.3 times what
-/// it may.
+/// Hundreds of instances, whose gossip interval is about 0.5 s, get five times the capacity of endpoints
+/// that accept 20 requests a second each. When every request tried all endpoints, an endpoint with capacity
+/// got 1.3 times what it may.
 #[test]
 fn hundreds_of_instances_do_not_all_select_the_endpoint_with_capacity() {
     let (domains, faults) = (vec![44, 61, 87, 76], Vec::new());
