--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,12 +1,16 @@
 //! Experiments with the real decision core in virtual time.
 //!
-//! A [`World`] drives many [`Instance`](teaselshunt_core::Instance)s side by side in one process, through the
-//! same narrow entry that the daemon uses, against small models of engines, services, the platform and the
-//! network. It is used twice: to measure the routing policy under load, and to look for violations of what
-//! must always hold under random faults. It models times and losses only; protocols, sockets and processes
-//! are tested with the daemon itself.
+//! A [`World`] simulates a deployment in one process. It runs many
+//! [`Instance`](teaselshunt_core::Instance)s through the same entry point that the daemon uses, against
+//! small models of engines, services, the platform and the network. The simulation has two purposes: it
+//! measures the routing policy under load, and it searches for violations of invariants under random
+//! faults. It models only times and losses. Protocols, sockets and processes are tested with the daemon
+//! itself.
 //!
-//! Everything is drawn from one seed: the same seed gives the same run.
+//! All random draws come from one seed: the same seed results in the same run.
+//!
+//! [`QuotaPlan`] and [`RatePlan`] test the limits of teams and the rates of endpoints with random faults in
+//! the same manner, without a [`World`].
 
 mod plan;
 mod policy;
@@ -16,11 +20,11 @@
 mod world;
 
 pub use plan::Plan;
-pub use policy::{ClassOutcome, Experiment, Outcome, Policy, Trouble};
-pub use quotas::{Mishap, QuotaOutcome, QuotaPlan, Trouble as QuotaTrouble};
+pub use policy::{ClassOutcome, Experiment, Outcome, Policy, Scenario};
+pub use quotas::{FaultKind, QuotaOutcome, QuotaPlan, TimedFault};
 pub use rates::{RateOutcome, RatePlan};
-pub use slopes::{Decision, Gossip, decision, gossip};
+pub use slopes::{ControlCost, DecisionCost, measure_control, measure_decision};
 pub use world::{
-    Asked, ClassTally, Deployment, EngineSpeed, Fault, Load, Options, Side, Tally, World, britasol, pindan,
-    scaled,
+    ClassTally, Deployment, EngineSpeed, Fault, Load, Options, RequestSpec, Side, Tally, World, britasol,
+    pindan, scaled,
 };
