--- a/crates/bench/src/commands/cost.rs
+++ b/crates/bench/src/commands/cost.rs
@@ -42,14 +42,14 @@
 }
 
 async fn measure(arguments: &Arguments) -> Result<(), CommandError> {
-    let bench = Bench::start(&arguments.daemon, EngineOptions::quick(Role::Decode)).await?;
+    let bench = Bench::start(&arguments.daemon, EngineOptions::fast(Role::Decode)).await?;
     bench.latency(arguments.requests).await?;
     drop(bench);
     let options = EngineOptions {
         slots: STREAMS as u32,
-        gap: GAP,
-        length: Some(TOKENS),
-        ..EngineOptions::quick(Role::Decode)
+        token_gap: GAP,
+        output_tokens: Some(TOKENS),
+        ..EngineOptions::fast(Role::Decode)
     };
     Bench::start(&arguments.daemon, options).await?.tokens().await
 }
@@ -79,7 +79,7 @@
     async fn start(program: &str, decode: EngineOptions) -> Result<Self, CommandError> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let slots = decode.slots;
-        let prefill = EngineOptions { slots: STREAMS as u32, ..EngineOptions::quick(Role::Prefill) };
+        let prefill = EngineOptions { slots: STREAMS as u32, ..EngineOptions::fast(Role::Prefill) };
         let prefill = Engine::start(any, prefill).await?;
         let decode = Engine::start(any, decode).await?;
         let endpoint = |name: &str, address: SocketAddr, role: &str, slots: u32| {
--- a/crates/daemon/tests/all/configuration.rs
+++ b/crates/daemon/tests/all/configuration.rs
@@ -1,6 +1,6 @@
 //! Configuration versions: in force everywhere, never taken back, also without the platform.
 
-use teaselshunt_standin::answer;
+use teaselshunt_standin::generated_text;
 
 use crate::support::{Daemon, Fleet, streamed, until};
 
@@ -18,13 +18,13 @@
     for daemon in &daemons {
         until("the version is in force", || async { version(&fleet, daemon).await == number }).await;
     }
-    let before = fleet.decode[0].streams();
+    let before = fleet.decode[0].streams_started();
     for i in 0..10 {
         let prompt = format!("Drained {i}");
         let response = fleet.completion(&daemons[i % 2], &prompt, true).send().await.unwrap();
-        assert_eq!(streamed(response).await, Some(answer(&prompt, 400)));
+        assert_eq!(streamed(response).await, Some(generated_text(&prompt, 400)));
     }
-    assert_eq!(fleet.decode[0].streams(), before);
+    assert_eq!(fleet.decode[0].streams_started(), before);
 }
 
 /// A replica of the configuration service that lags answers with an older version, to a running instance and
@@ -36,7 +36,7 @@
     let old = fleet.configuration.to_string();
     let number = fleet.patch(|c| c["policy"]["stall_ms"] = 1234.into());
     until("the version is in force", || async { version(&fleet, &first).await == number }).await;
-    fleet.platform.set_stale(Some(&old));
+    fleet.platform.set_stale_configuration(Some(&old));
     let calls = fleet.platform.calls();
     until("the replica was read", || async { fleet.platform.calls() > calls + 5 }).await;
     assert_eq!(version(&fleet, &first).await, number);
@@ -57,7 +57,7 @@
     let second = fleet.daemon(1).await;
     assert_eq!(version(&fleet, &second).await, number);
     let response = fleet.completion(&second, "In the dark", true).send().await.unwrap();
-    assert_eq!(streamed(response).await, Some(answer("In the dark", 400)));
+    assert_eq!(streamed(response).await, Some(generated_text("In the dark", 400)));
 }
 
 /// A version that does not check is published. It is refused whole and loudly, the last good one stays, and
--- a/crates/daemon/tests/all/input.rs
+++ b/crates/daemon/tests/all/input.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use teaselshunt_standin::answer;
+use teaselshunt_standin::generated_text;
 
 use crate::support::{Fleet, until};
 
@@ -44,7 +44,7 @@
         fleet.client.get(format!("http://{}/services/none/x", daemon.callers)).send().await.unwrap();
     assert_eq!(nowhere.status(), 404);
     let text = fleet.completion(&daemon, "Still here?", false).send().await.unwrap().text().await.unwrap();
-    assert!(text.contains(answer("Still here?", 400).trim_end()));
+    assert!(text.contains(generated_text("Still here?", 400).trim_end()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/daemon/tests/all/path.rs
+++ b/crates/daemon/tests/all/path.rs
@@ -1,7 +1,7 @@
 //! One request from its caller to its answer, through separate processes.
 
 use serde_json::{Value, json};
-use teaselshunt_standin::answer;
+use teaselshunt_standin::generated_text;
 
 use crate::support::{Fleet, streamed};
 
@@ -13,12 +13,12 @@
         let response = fleet.completion(daemon, prompt, false).send().await.unwrap();
         let id = response.headers()["x-request-id"].to_str().unwrap().to_owned();
         let reply: Value = response.json().await.unwrap();
-        assert_eq!(reply["choices"][0]["text"], answer(prompt, 400));
+        assert_eq!(reply["choices"][0]["text"], generated_text(prompt, 400));
         assert_eq!(reply["choices"][0]["finish_reason"], "stop");
         assert_eq!(reply["id"], id);
 
         let response = fleet.completion(daemon, prompt, true).send().await.unwrap();
-        assert_eq!(streamed(response).await, Some(answer(prompt, 400)));
+        assert_eq!(streamed(response).await, Some(generated_text(prompt, 400)));
     }
     assert_eq!(fleet.held(), Vec::<String>::new());
 }
@@ -47,7 +47,7 @@
         .await
         .unwrap();
     let prompt = "system: Short.\nuser: Fee for a PC-12 at Karratha?\n";
-    assert_eq!(reply["choices"][0]["message"]["content"], answer(prompt, 10));
+    assert_eq!(reply["choices"][0]["message"]["content"], generated_text(prompt, 10));
     assert_eq!(reply["choices"][0]["finish_reason"], "length");
     assert_eq!(reply["object"], "chat.completion");
 }
--- a/crates/daemon/tests/all/silence.rs
+++ b/crates/daemon/tests/all/silence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use teaselshunt_settings::Role;
-use teaselshunt_standin::{EngineOptions, Faults, Relay, answer};
+use teaselshunt_standin::{EngineOptions, Faults, Relay, generated_text};
 
 use crate::support::{Fleet, streamed, until};
 
@@ -12,7 +12,7 @@
 /// takes the stream up at the caller's offset on a new connection, and the caller gets its whole answer once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_on_a_silent_connection_is_taken_up_on_a_new_one() {
-    let options = EngineOptions { gap: Duration::from_millis(60), ..EngineOptions::quick(Role::Decode) };
+    let options = EngineOptions { token_gap: Duration::from_millis(60), ..EngineOptions::fast(Role::Decode) };
     let mut fleet = Fleet::with(1, options).await;
     let mut relays = Vec::new();
     for engine in &fleet.decode {
@@ -28,10 +28,10 @@
     until("the relays are in use", || async { fleet.status(&daemon).await["version"] == 2 }).await;
     let response = fleet.completion(&daemon, "Silent log", true).send().await.unwrap();
     for relay in &relays {
-        relay.silence();
+        relay.blackhole_open_connections();
     }
-    assert_eq!(streamed(response).await, Some(answer("Silent log", 400)));
-    let prefills: u64 = fleet.prefill.iter().map(teaselshunt_standin::Engine::prefills).sum();
+    assert_eq!(streamed(response).await, Some(generated_text("Silent log", 400)));
+    let prefills: u64 = fleet.prefill.iter().map(teaselshunt_standin::Engine::prefills_started).sum();
     assert_eq!(prefills, 1, "the stream was taken up, not run again");
     assert_eq!(fleet.held(), Vec::<String>::new());
 }
@@ -41,7 +41,7 @@
 /// nothing but a pause.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_fails_in_the_middle_is_replaced_behind_the_offset() {
-    let options = EngineOptions { gap: Duration::from_millis(30), ..EngineOptions::quick(Role::Decode) };
+    let options = EngineOptions { token_gap: Duration::from_millis(30), ..EngineOptions::fast(Role::Decode) };
     let fleet = Fleet::with(1, options).await;
     let daemon = fleet.daemon(0).await;
     let mut responses = Vec::new();
@@ -50,7 +50,7 @@
     }
     fleet.decode[0].set_faults(Faults { drop: true, ..Faults::default() });
     for (i, response) in responses.into_iter().enumerate() {
-        assert_eq!(streamed(response).await, Some(answer(&format!("Log {i}"), 400)));
+        assert_eq!(streamed(response).await, Some(generated_text(&format!("Log {i}"), 400)));
     }
     until("nothing is held", || async { fleet.held().is_empty() }).await;
 }
@@ -63,12 +63,12 @@
     let daemon = fleet.daemon(0).await;
     fleet.prefill[0].set_faults(Faults { evict: true, ..Faults::default() });
     for i in 0.. {
-        if fleet.prefill[0].prefills() > 0 {
+        if fleet.prefill[0].prefills_started() > 0 {
             break;
         }
         let prompt = format!("Evicted {i}");
         let response = fleet.completion(&daemon, &prompt, true).send().await.unwrap();
-        assert_eq!(streamed(response).await, Some(answer(&prompt, 400)));
+        assert_eq!(streamed(response).await, Some(generated_text(&prompt, 400)));
     }
     let status = fleet.status(&daemon).await;
     let wasted: u64 =
--- a/crates/daemon/tests/all/stop.rs
+++ b/crates/daemon/tests/all/stop.rs
@@ -3,12 +3,12 @@
 use serde_json::Value;
 use std::time::Duration;
 use teaselshunt_settings::Role;
-use teaselshunt_standin::{EngineOptions, answer};
+use teaselshunt_standin::{EngineOptions, generated_text};
 
 use crate::support::{Fleet, streamed, until};
 
 fn slow() -> EngineOptions {
-    EngineOptions { gap: Duration::from_millis(40), ..EngineOptions::quick(Role::Decode) }
+    EngineOptions { token_gap: Duration::from_millis(40), ..EngineOptions::fast(Role::Decode) }
 }
 
 /// A caller reads a stream when its instance is told to stop. The instance refuses newcomers as not run, goes
@@ -26,11 +26,11 @@
         refused.is_ok_and(|r| r.status() == 503 && r.headers()["x-teaselshunt-outcome"] == "not-run")
     })
     .await;
-    assert_eq!(streamed(response).await, Some(answer("Long log", 400)));
+    assert_eq!(streamed(response).await, Some(generated_text("Long log", 400)));
     assert!(daemon.end().await.success());
     let reply: Value =
         fleet.completion(&other, "Elsewhere", false).send().await.unwrap().json().await.unwrap();
-    assert_eq!(reply["choices"][0]["text"], answer("Elsewhere", 400));
+    assert_eq!(reply["choices"][0]["text"], generated_text("Elsewhere", 400));
     assert_eq!(fleet.held(), Vec::<String>::new());
 }
 
@@ -38,12 +38,13 @@
 /// decode slot until the last token and beyond; the router must cancel it there at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_leaves_no_memory_held() {
-    let fleet = Fleet::with(1, EngineOptions { gap: Duration::from_hours(1), ..slow() }).await;
+    let fleet = Fleet::with(1, EngineOptions { token_gap: Duration::from_hours(1), ..slow() }).await;
     let daemon = fleet.daemon(0).await;
     // The prompt has no second token for an hour, so only a cancel can free the slot.
     let request = fleet.completion(&daemon, "Gone caller", true);
     let waiting = tokio::spawn(async move { request.send().await });
-    until("the engine holds the stream", || async { fleet.decode.iter().any(|e| e.streams() > 0) }).await;
+    until("the engine holds the stream", || async { fleet.decode.iter().any(|e| e.streams_started() > 0) })
+        .await;
     waiting.abort();
     until("nothing is held", || async { fleet.held().is_empty() }).await;
     let status = fleet.status(&daemon).await;
@@ -54,12 +55,13 @@
 /// the instance after a while. A survivor reads the owner's name in the engine's report and cancels for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn survivors_cancel_the_work_of_a_killed_instance() {
-    let mut fleet = Fleet::with(2, EngineOptions { gap: Duration::from_hours(1), ..slow() }).await;
+    let mut fleet = Fleet::with(2, EngineOptions { token_gap: Duration::from_hours(1), ..slow() }).await;
     let victim = fleet.daemon(0).await;
     let survivor = fleet.daemon(1).await;
     let request = fleet.completion(&victim, "Orphan", true);
     let waiting = tokio::spawn(async move { request.send().await });
-    until("the engine holds the stream", || async { fleet.decode.iter().any(|e| e.streams() > 0) }).await;
+    until("the engine holds the stream", || async { fleet.decode.iter().any(|e| e.streams_started() > 0) })
+        .await;
     drop(victim);
     assert!(waiting.await.unwrap().is_err(), "the caller sees its connection break");
     fleet.publish_list(|i| i != 0);
@@ -73,11 +75,12 @@
 /// of its former life, which the new process recognises by the incarnation and cancels.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_instance_cancels_the_work_of_its_former_life() {
-    let fleet = Fleet::with(1, EngineOptions { gap: Duration::from_hours(1), ..slow() }).await;
+    let fleet = Fleet::with(1, EngineOptions { token_gap: Duration::from_hours(1), ..slow() }).await;
     let victim = fleet.daemon(0).await;
     let request = fleet.completion(&victim, "Orphan", true);
     let waiting = tokio::spawn(async move { request.send().await });
-    until("the engine holds the stream", || async { fleet.decode.iter().any(|e| e.streams() > 0) }).await;
+    until("the engine holds the stream", || async { fleet.decode.iter().any(|e| e.streams_started() > 0) })
+        .await;
     drop(victim);
     assert!(waiting.await.unwrap().is_err());
     let _again = fleet.daemon(0).await;
--- a/crates/daemon/tests/all/support.rs
+++ b/crates/daemon/tests/all/support.rs
@@ -78,14 +78,14 @@
     /// Two prefill and two decode engines, one service, and settings for `instances` instances, none of which
     /// is started yet.
     pub(crate) async fn start(instances: usize) -> Self {
-        Self::with(instances, EngineOptions::quick(Role::Decode)).await
+        Self::with(instances, EngineOptions::fast(Role::Decode)).await
     }
 
     pub(crate) async fn with(instances: usize, decode_options: EngineOptions) -> Self {
         let mut prefill = Vec::new();
         let mut decode = Vec::new();
         for _ in 0..2 {
-            prefill.push(Engine::start(loopback(), EngineOptions::quick(Role::Prefill)).await.unwrap());
+            prefill.push(Engine::start(loopback(), EngineOptions::fast(Role::Prefill)).await.unwrap());
             decode.push(Engine::start(loopback(), decode_options.clone()).await.unwrap());
         }
         let service = Service::start(loopback()).await.unwrap();
@@ -232,7 +232,7 @@
 
     /// Ids that any engine holds memory for.
     pub(crate) fn held(&self) -> Vec<String> {
-        self.prefill.iter().chain(&self.decode).flat_map(Engine::held).collect()
+        self.prefill.iter().chain(&self.decode).flat_map(Engine::held_requests).collect()
     }
 }
 
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -8,7 +8,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use reqwest::{Client, Response};
-use teaselshunt_standin::{CRASHING_BODY, CREW, FLOOD, SiteRun, event, is_signed, site_request};
+use teaselshunt_standin::{
+    CRASHING_BODY, FLOODING_TEAM, SiteExecution, UNLIMITED_TEAM, event_text, is_signed, site_request,
+};
 use tokio::task::JoinSet;
 
 use crate::faults::Plan;
@@ -88,7 +90,7 @@
         let mut tasks = JoinSet::new();
         for (index, slot) in site.parts().instances.iter().enumerate() {
             let caller = Caller {
-                address: slot.settings.callers.to_string(),
+                address: slot.settings.caller_address.to_string(),
                 client: Client::new(),
                 book: Arc::clone(&book),
                 counts: Arc::clone(&counts),
@@ -117,8 +119,8 @@
             return Some(broken.clone());
         }
         let mut counts: HashMap<&str, u32> = HashMap::new();
-        for (run, _) in runs.iter().filter(|(run, _)| !run.prefill && run.after.is_none()) {
-            *counts.entry(&run.request).or_default() += 1;
+        for (run, _) in runs.iter().filter(|(run, _)| !run.prefill && run.resume_after.is_none()) {
+            *counts.entry(&run.request_id).or_default() += 1;
         }
         let broken = |promise: &str, id: &str| {
             Some(Broken { promise: promise.to_owned(), request: Some(id.to_owned()) })
@@ -132,7 +134,10 @@
         }
         drop(book);
         if let Some(run) = runs.iter().map(|(run, _)| run).find(|run| !is_told_truly(run)) {
-            return broken("an endpoint was told another team than the caller's, or its key", &run.request);
+            return broken(
+                "an endpoint was told another team than the caller's, or its key",
+                &run.request_id,
+            );
         }
         if self.timeless {
             return None;
@@ -143,9 +148,11 @@
         let parts = site.parts();
         let calm = parts.instances.iter().map(|s| s.calm).max().unwrap_or_else(Instant::now);
         let late = runs.iter().find(|(run, left)| {
-            left.is_some_and(|left| run.at > left + DRAIN && left > calm + CALM && run.at > calm + CALM)
+            left.is_some_and(|left| {
+                run.started_at > left + DRAIN && left > calm + CALM && run.started_at > calm + CALM
+            })
         });
-        late.and_then(|(run, _)| broken("an endpoint that had left got a request", &run.request))
+        late.and_then(|(run, _)| broken("an endpoint that had left got a request", &run.request_id))
     }
 
     /// After everything has healed, every instance must serve every kind again, and nothing may be left at engines.
@@ -153,7 +160,7 @@
         self.tasks.lock().unwrap_or_else(PoisonError::into_inner).abort_all();
         let end = Instant::now() + RECOVERY;
         let addresses: Vec<String> =
-            site.parts().instances.iter().map(|s| s.settings.callers.to_string()).collect();
+            site.parts().instances.iter().map(|s| s.settings.caller_address.to_string()).collect();
         let newest = format!("v{}", site.parts().version);
         for address in &addresses {
             // The last is the route that only the newest version has.
@@ -172,7 +179,7 @@
                 }
             }
         }
-        while site.parts().endpoints.iter().any(|e| e.server.working() > 0) {
+        while site.parts().endpoints.iter().any(|e| e.server.active_requests() > 0) {
             if Instant::now() > end {
                 let promise = "an endpoint still works for callers who have gone".to_owned();
                 return Err(Broken { promise, request: None });
@@ -186,7 +193,7 @@
     pub(crate) async fn crash_again(&self, site: &Site, plan: &mut Plan) -> Result<(), Broken> {
         let before = site.crashed();
         let addresses: Vec<String> =
-            site.parts().instances.iter().map(|s| s.settings.callers.to_string()).collect();
+            site.parts().instances.iter().map(|s| s.settings.caller_address.to_string()).collect();
         for (number, address) in addresses.iter().cycle().take(CRASHES).enumerate() {
             self.caller(address).ask("crash", &format!("crash-first-{number}")).await;
             plan.bury(site).await;
@@ -210,7 +217,7 @@
         let name = |rate: Option<&str>| {
             let parts = site.parts();
             let plain = parts.endpoints.iter().filter(|endpoint| endpoint.server.stage().is_none());
-            plain.for_each(|endpoint| endpoint.server.name_limit(rate));
+            plain.for_each(|endpoint| endpoint.server.advertise_limit(rate));
         };
         name(Some(&RATE.to_string()));
         tokio::time::sleep(SETTLED).await;
@@ -246,20 +253,21 @@
 }
 
 /// Whether an endpoint was told the team of the caller whose request it ran, and no key.
-fn is_told_truly(run: &SiteRun) -> bool {
-    let team = if run.request.starts_with("flood") { FLOOD } else { CREW };
-    run.team.as_deref() == Some(team.name) && run.key.is_none()
+fn is_told_truly(run: &SiteExecution) -> bool {
+    let team = if run.request_id.starts_with("flood") { FLOODING_TEAM } else { UNLIMITED_TEAM };
+    run.team.as_deref() == Some(team.name) && run.authorization.is_none()
 }
 
 /// The last request of a window in which the flooding team got more than its limit and the tolerance.
-fn beyond_limit(runs: &[(SiteRun, Option<Instant>)]) -> Option<String> {
-    let most = (FLOOD.rate * (WINDOW.as_secs() + 1)) as f64 * TOLERANCE;
-    let flood = runs.iter().map(|(run, _)| run).filter(|run| run.request.starts_with("flood"));
-    let mut flood: Vec<&SiteRun> = flood.collect();
-    flood.sort_by_key(|run| run.at);
+fn beyond_limit(runs: &[(SiteExecution, Option<Instant>)]) -> Option<String> {
+    let most = (FLOODING_TEAM.rate_per_s * (WINDOW.as_secs() + 1)) as f64 * TOLERANCE;
+    let flood = runs.iter().map(|(run, _)| run).filter(|run| run.request_id.starts_with("flood"));
+    let mut flood: Vec<&SiteExecution> = flood.collect();
+    flood.sort_by_key(|run| run.started_at);
     let mut spans = flood.windows(most as usize + 1);
-    let full = spans.find(|span| span[span.len() - 1].at.duration_since(span[0].at) < WINDOW)?;
-    Some(full[full.len() - 1].request.clone())
+    let full =
+        spans.find(|span| span[span.len() - 1].started_at.duration_since(span[0].started_at) < WINDOW)?;
+    Some(full[full.len() - 1].request_id.clone())
 }
 
 fn lock(book: &Mutex<Book>) -> std::sync::MutexGuard<'_, Book> {
@@ -309,7 +317,7 @@
             "flood" => "/safe/".to_owned(),
             kind => format!("/{kind}/"),
         };
-        let team = if kind == "flood" { FLOOD } else { CREW };
+        let team = if kind == "flood" { FLOODING_TEAM } else { UNLIMITED_TEAM };
         let mut request = site_request(&self.client, &self.address, &path, id, DEADLINE_MS);
         request = request.header("authorization", format!("Token {}", team.key)).header("tenant", "forged");
         if crashes {
@@ -350,7 +358,7 @@
         };
         let text = String::from_utf8_lossy(&text).into_owned();
         let expected: String = if ["stream", "resume", "crash"].contains(&kind) {
-            (1..=EVENTS).map(|number| event(id, number)).collect()
+            (1..=EVENTS).map(|number| event_text(id, number)).collect()
         } else {
             format!("answer to {id}")
         };
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -83,7 +83,7 @@
         for endpoint in &site.parts().endpoints {
             endpoint.proxy.set(Harm::None);
             endpoint.server.set_fault(SiteFault::None);
-            endpoint.server.name_limit(None);
+            endpoint.server.advertise_limit(None);
         }
         self.bury(site).await;
         // Instances that are stopping end first.
@@ -152,7 +152,7 @@
         let ended: Vec<usize> = {
             let mut parts = site.parts();
             let slots = parts.instances.iter_mut().enumerate();
-            slots.filter_map(|(i, s)| s.process.as_mut()?.ended().map(|_| i)).collect()
+            slots.filter_map(|(i, s)| s.process.as_mut()?.exit_success().map(|_| i)).collect()
         };
         for index in ended.into_iter().filter(|i| !waiting.contains(i)) {
             self.note(&format!("instance {index} has ended and is started again"));
@@ -201,7 +201,7 @@
         site.parts().instances.iter_mut().for_each(|s| s.calm = Instant::now());
         if self.rng.random_bool(0.3) {
             self.note("the store forgets its history");
-            return site.store.forget_history();
+            return site.store.compact_history();
         }
         let modes = [StoreMode::Busy, StoreMode::Silent, StoreMode::Closing];
         let mode = modes[self.rng.random_range(0..modes.len())];
@@ -306,7 +306,7 @@
         let rate = RATES[self.rates.random_range(0..RATES.len())];
         let index = self.rates.random_range(0..site.parts().endpoints.len());
         self.note(&format!("endpoint {index} names {rate:?}"));
-        site.parts().endpoints[index].server.name_limit(rate);
+        site.parts().endpoints[index].server.advertise_limit(rate);
     }
 
     fn configure(&mut self, site: &Site) {
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use teaselshunt_standin::{SiteEndpoint, SiteInstance, SiteOptions, SiteRun, SiteSettings, Store};
+use teaselshunt_standin::{SiteEndpoint, SiteExecution, SiteInstance, SiteOptions, SiteSettings, Store};
 use tokio::sync::watch;
 
 use crate::proxy::Proxy;
@@ -87,14 +87,14 @@
         let settings = SiteSettings {
             name: format!("front-{number}"),
             domain: ["north", "south"][number % 2].to_owned(),
-            callers: address(8001),
-            ready: address(8002),
-            control: address(8003),
+            caller_address: address(8001),
+            ready_address: address(8002),
+            control_address: address(8003),
             seeds: vec![seed],
-            peers: Some(8004),
-            store: store.address,
-            first: true,
-            memory: MEMORY_MB,
+            peer_port: Some(8004),
+            store_address: store.address,
+            first_start: true,
+            memory_mb: MEMORY_MB,
         };
         let process = Some(SiteInstance::start(&self.binary, &settings)?);
         let calm = Instant::now();
@@ -106,7 +106,7 @@
     pub(crate) fn restart(&self, index: usize) {
         let mut parts = self.parts();
         let slot = &mut parts.instances[index];
-        slot.settings.first = false;
+        slot.settings.first_start = false;
         slot.life += 1;
         slot.calm = Instant::now();
         if let Some(former) = slot.process.take() {
@@ -130,13 +130,13 @@
             service: if stage.is_some() { "model" } else { "desk" }.to_owned(),
             domain: "north".to_owned(),
             stage,
-            work: Duration::from_millis(15),
-            events: if stage.is_some() { 20 } else { 0 },
-            gap: Duration::from_millis(25),
-            room: 20_000,
+            work_time: Duration::from_millis(15),
+            event_count: if stage.is_some() { 20 } else { 0 },
+            event_gap: Duration::from_millis(25),
+            reservable_tokens: 20_000,
         };
         let endpoint = SiteEndpoint::start(options).await?;
-        let proxy = Proxy::start(endpoint.address(), endpoint.crash()).await?;
+        let proxy = Proxy::start(endpoint.address(), endpoint.crash_signal()).await?;
         self.store.put(&key(&endpoint), &endpoint.entry(proxy.address, "ready"));
         self.parts().endpoints.push(Endpoint { server: endpoint, proxy, left: None });
         Ok(())
@@ -145,14 +145,14 @@
     /// Publishes the configuration with the number in force. Each version has a route that no other one has.
     pub(crate) fn publish(&self) {
         let version = self.parts().version;
-        self.store.publish_teams(version);
+        self.store.publish_with_teams(version);
     }
 
     /// Everything that endpoints ran, ended ones as well, with the time at which each endpoint left.
-    pub(crate) fn runs(&self) -> Vec<(SiteRun, Option<Instant>)> {
+    pub(crate) fn runs(&self) -> Vec<(SiteExecution, Option<Instant>)> {
         let parts = self.parts();
         let all = parts.endpoints.iter().chain(&parts.ended);
-        all.flat_map(|e| e.server.runs().into_iter().map(|run| (run, e.left))).collect()
+        all.flat_map(|e| e.server.executions().into_iter().map(|run| (run, e.left))).collect()
     }
 
     /// Endpoints that a request has crashed.
@@ -165,7 +165,7 @@
     pub(crate) fn logged(&self, text: &str) -> Vec<String> {
         let parts = self.parts();
         let processes = parts.instances.iter().flat_map(|s| s.former.iter().chain(&s.process));
-        processes.flat_map(|p| p.logged(text)).collect()
+        processes.flat_map(|p| p.log_lines(text)).collect()
     }
 }
 
--- a/crates/standin/src/commands/ask.rs
+++ b/crates/standin/src/commands/ask.rs
@@ -5,7 +5,7 @@
 use gumdrop::Options;
 use reqwest::{Client, Response, StatusCode};
 use serde_json::{Value, json};
-use teaselshunt_standin::answer;
+use teaselshunt_standin::generated_text;
 use uuid::Uuid;
 
 use super::CommandError;
@@ -81,7 +81,7 @@
         let response = self.patiently(|| self.client.post(&url).json(&body).send()).await?;
         let reply: Value = response.json().await?;
         let text = reply["choices"][0]["text"].as_str().unwrap_or_default();
-        check("summary", instance, text, &answer(JOB_SHEET, LIMIT))
+        check("summary", instance, text, &generated_text(JOB_SHEET, LIMIT))
     }
 
     /// A desk lookup, streamed.
@@ -105,7 +105,7 @@
         if !done {
             return Err(wrong(format!("{instance}: the stream of a lookup has no end")));
         }
-        check("lookup", instance, &text, &answer(&format!("user: {question}\n"), LIMIT))
+        check("lookup", instance, &text, &generated_text(&format!("user: {question}\n"), LIMIT))
     }
 
     /// A booking, which must not run twice.
--- a/crates/standin/src/commands/fleet.rs
+++ b/crates/standin/src/commands/fleet.rs
@@ -28,9 +28,9 @@
             continue;
         }
         let options = if arguments.real {
-            EngineOptions::real(endpoint.role, endpoint.slots)
+            EngineOptions::realistic(endpoint.role, endpoint.slots)
         } else {
-            EngineOptions { slots: endpoint.slots, ..EngineOptions::quick(endpoint.role) }
+            EngineOptions { slots: endpoint.slots, ..EngineOptions::fast(endpoint.role) }
         };
         engines.push(Engine::start(endpoint.address, options).await?);
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -76,8 +76,10 @@
     let tokens = (request.prompt.len() as u32).div_ceil(4) + request.offset;
     let cached = (state.touch_prefix(&request.prompt) as u32 * 16).min(tokens);
     let left = tokens - cached;
-    state.work(Duration::from_secs_f64(f64::from(left) / f64::from(state.options.rate))).await;
-    let bytes = u64::from(tokens) * state.options.kv_token;
+    state
+        .work(Duration::from_secs_f64(f64::from(left) / f64::from(state.options.prefill_tokens_per_s)))
+        .await;
+    let bytes = u64::from(tokens) * state.options.kv_bytes_per_token;
     let cache = Cache { prompt: request.prompt, offset: request.offset, bytes };
     if !state.end_prefill(&id, cache) {
         return None;
@@ -85,7 +87,7 @@
     if state.faults().evict {
         state.evict(&id);
     }
-    let keep = state.options.keep;
+    let keep = state.options.result_ttl;
     let (keeper, kept) = (Arc::clone(&state), id.clone());
     tokio::spawn(async move {
         tokio::time::sleep(keep).await;
@@ -144,9 +146,9 @@
     let id = request.request_id;
     let begun = match &request.resume {
         Some(old) => state.resume(old, &id),
-        None => state.begin_stream(&id, |prompt| match state.options.length {
+        None => state.begin_stream(&id, |prompt| match state.options.output_tokens {
             Some(length) => length.min(request.max_tokens),
-            None => content::length(prompt, request.max_tokens),
+            None => content::generated_length(prompt, request.max_tokens),
         }),
     };
     let Some((stream, number)) = begun else {
@@ -162,7 +164,7 @@
 
 async fn generate(state: Arc<State>, stream: Stream) {
     while *stream.made.borrow() < stream.length && state.streaming(&stream) {
-        let gap = state.options.gap * (100 + state.batch() / 2) / 100;
+        let gap = state.options.token_gap * (100 + state.batch() / 2) / 100;
         state.work(gap).await;
         stream.made.send_modify(|made| *made += 1);
     }
@@ -202,9 +204,10 @@
             return None;
         }
         let last = next + 1 == reading.stream.length;
-        let natural = content::length(&reading.stream.prompt, u32::MAX) == reading.stream.length;
+        let natural = content::generated_length(&reading.stream.prompt, u32::MAX) == reading.stream.length;
         let finish = last.then(|| if natural { "stop".to_owned() } else { "length".to_owned() });
-        let event = TokenEvent { offset: next, text: content::token(&reading.stream.prompt, next), finish };
+        let event =
+            TokenEvent { offset: next, text: content::generated_token(&reading.stream.prompt, next), finish };
         reading.next += 1;
         if last {
             reading.state.drop_held(&reading.id);
@@ -245,7 +248,7 @@
     if !state.order(order.fence, order.load) {
         return fault(StatusCode::CONFLICT, EngineFault::Fenced);
     }
-    state.work(state.options.load_time).await;
+    state.work(state.options.weights_load_time).await;
     Json(state.report()).into_response()
 }
 
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -25,46 +25,46 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Prompt tokens prefilled a second.
-    pub rate: u32,
+    pub prefill_tokens_per_s: u32,
     /// Time between two tokens with one request running; grows by half up to a full batch.
-    pub gap: Duration,
+    pub token_gap: Duration,
     /// How long a prefill result is kept.
-    pub keep: Duration,
+    pub result_ttl: Duration,
     /// Rate of its link, in bytes a second.
-    pub link: u64,
+    pub link_bytes_per_s: u64,
     /// Bytes of KV cache for each prompt token.
-    pub kv_token: u64,
+    pub kv_bytes_per_token: u64,
     /// Blocks of 64 bytes of prompt in the prefix cache.
-    pub blocks: usize,
+    pub prefix_cache_blocks: usize,
     /// Age of load reports.
-    pub lag: Duration,
+    pub report_interval: Duration,
     /// How long loading weights takes.
-    pub load_time: Duration,
+    pub weights_load_time: Duration,
     /// Length of every answer that its limit allows; without it the prompt decides.
-    pub length: Option<u32>,
+    pub output_tokens: Option<u32>,
 }
 
 impl EngineOptions {
     /// A fast engine for tests: prefills in about a millisecond, tokens every 2 ms.
-    pub fn quick(role: Role) -> Self {
+    pub fn fast(role: Role) -> Self {
         Self {
             role,
             slots: if role == Role::Decode { 20 } else { 4 },
-            rate: 100_000,
-            gap: Duration::from_millis(2),
-            keep: Duration::from_millis(800),
-            link: 10_000_000_000,
-            kv_token: 100_000,
-            blocks: 4096,
-            lag: Duration::from_millis(100),
-            load_time: Duration::from_millis(200),
-            length: None,
+            prefill_tokens_per_s: 100_000,
+            token_gap: Duration::from_millis(2),
+            result_ttl: Duration::from_millis(800),
+            link_bytes_per_s: 10_000_000_000,
+            kv_bytes_per_token: 100_000,
+            prefix_cache_blocks: 4096,
+            report_interval: Duration::from_millis(100),
+            weights_load_time: Duration::from_millis(200),
+            output_tokens: None,
         }
     }
 
     /// An engine at the pace of a real one: 8,000 prompt tokens a second, 20 ms between tokens.
-    pub fn real(role: Role, slots: u32) -> Self {
-        Self { slots, rate: 8_000, gap: Duration::from_millis(20), ..Self::quick(role) }
+    pub fn realistic(role: Role, slots: u32) -> Self {
+        Self { slots, prefill_tokens_per_s: 8_000, token_gap: Duration::from_millis(20), ..Self::fast(role) }
     }
 }
 
@@ -124,17 +124,17 @@
     }
 
     /// Ids of requests that it holds memory for, now.
-    pub fn held(&self) -> Vec<String> {
+    pub fn held_requests(&self) -> Vec<String> {
         self.state.held()
     }
 
     /// Prefills started, over its life.
-    pub fn prefills(&self) -> u64 {
+    pub fn prefills_started(&self) -> u64 {
         self.state.prefills()
     }
 
     /// Streams started, over its life.
-    pub fn streams(&self) -> u64 {
+    pub fn streams_started(&self) -> u64 {
         self.state.streams()
     }
 }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -179,7 +179,7 @@
     /// When the link will have moved `bytes` after everything before.
     pub(crate) fn link(&self, bytes: u64) -> Instant {
         let mut inner = self.lock();
-        let took = Duration::from_secs_f64(bytes as f64 / self.options.link as f64);
+        let took = Duration::from_secs_f64(bytes as f64 / self.options.link_bytes_per_s as f64);
         inner.link_free = inner.link_free.max(Instant::now()) + took;
         inner.link_free
     }
@@ -266,7 +266,7 @@
             }
             inner.prefix.push_back(hash);
             inner.log(hash, true);
-            if inner.prefix.len() > self.options.blocks
+            if inner.prefix.len() > self.options.prefix_cache_blocks
                 && let Some(old) = inner.prefix.pop_front()
             {
                 inner.log(old, false);
@@ -334,7 +334,7 @@
 pub(crate) async fn sample(state: Arc<State>) {
     let mut idle: BTreeMap<String, Instant> = BTreeMap::new();
     loop {
-        tokio::time::sleep(state.options.lag).await;
+        tokio::time::sleep(state.options.report_interval).await;
         if !state.faults().lag {
             state.renew_report();
         }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! They follow the published protocols of docs/ENGINE.md and docs/PLATFORM.md and no more, for tests, the
 //! quickstart and experiments. They run inside a test process or as processes of their own, and do faults on
-//! command. What an engine generates is a function of prompt and offset ([`token`]), so that whoever looks
+//! command. What an engine generates is a function of prompt and offset ([`generated_token`]), so that whoever looks
 //! can tell whether a caller got exactly its own whole answer.
 
 mod content;
@@ -13,12 +13,13 @@
 mod service;
 mod site;
 
-pub use content::{answer, length, token};
+pub use content::{generated_length, generated_text, generated_token};
 pub use engine::{Engine, EngineOptions, Faults};
 pub use platform::Platform;
 pub use relay::Relay;
 pub use service::{Execution, Service, ServiceFaults};
 pub use site::{
-    CRASHING_BODY, CREW, FLOOD, SiteEndpoint, SiteFault, SiteInstance, SiteOptions, SiteRun, SiteSettings,
-    SiteTeam, Store, StoreCopy, StoreMode, event, is_signed, site_configuration, site_request,
+    CRASHING_BODY, FLOODING_TEAM, SiteEndpoint, SiteExecution, SiteFault, SiteInstance, SiteOptions,
+    SiteSettings, SiteTeam, Store, StoreBackup, StoreMode, UNLIMITED_TEAM, event_text, is_signed,
+    site_configuration, site_request,
 };
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -86,7 +86,7 @@
     }
 
     /// Answers reads of the configuration with this text, as a replica that lags would.
-    pub fn set_stale(&self, text: Option<&str>) {
+    pub fn set_stale_configuration(&self, text: Option<&str>) {
         let document = text.map(|t| Document { number: version(t), text: t.to_owned() });
         *lock(&self.state.stale) = document;
         // Waiting watches end, and are answered anew.
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -46,19 +46,19 @@
     }
 
     /// Connections opened so far.
-    pub fn opened(&self) -> u64 {
+    pub fn connections_opened(&self) -> u64 {
         *self.opened.borrow()
     }
 
     /// Loses track of every connection that is open now; new ones work.
-    pub fn silence(&self) {
-        let opened = self.opened();
+    pub fn blackhole_open_connections(&self) {
+        let opened = self.connections_opened();
         self.mode.send_modify(|m| m.silent = opened);
     }
 
     /// Cuts or heals the way. Open connections stay lost after a heal.
-    pub fn set_cut(&self, cut: bool) {
-        let opened = self.opened();
+    pub fn set_partitioned(&self, cut: bool) {
+        let opened = self.connections_opened();
         self.mode.send_modify(|m| {
             m.cut = cut;
             m.silent = opened;
--- a/crates/standin/src/site/configuration.rs
+++ b/crates/standin/src/site/configuration.rs
@@ -33,21 +33,22 @@
     /// Its key.
     pub key: &'static str,
     /// Requests a second, and as many at once; 0 for no limit.
-    pub rate: u64,
+    pub rate_per_s: u64,
 }
 
 /// A team without a limit.
-pub const CREW: SiteTeam = SiteTeam { name: "crew", key: "soak-key-crew-7b2ex5wa5xwy", rate: 0 };
+pub const UNLIMITED_TEAM: SiteTeam =
+    SiteTeam { name: "crew", key: "soak-key-crew-7b2ex5wa5xwy", rate_per_s: 0 };
 /// A team that asks for far more than its limit.
-pub const FLOOD: SiteTeam = SiteTeam { name: "flood", key: "soak-key-flood-hks8nbk", rate: 20 };
+pub const FLOODING_TEAM: SiteTeam = SiteTeam { name: "flood", key: "soak-key-flood-hks8nbk", rate_per_s: 20 };
 
 /// The configuration with these two teams: callers of all routes show a key.
 pub(crate) fn site_teams(version: u64) -> Value {
     let team = |team: SiteTeam| {
-        json!({ "name": team.name, "keys": [team.key], "priority": 1, "unit": "requests", "rate_per_s": team.rate,
-            "burst": team.rate })
+        json!({ "name": team.name, "keys": [team.key], "priority": 1, "unit": "requests", "rate_per_s": team.rate_per_s,
+            "burst": team.rate_per_s })
     };
     let mut configuration = site_configuration(version);
-    configuration["tenants"] = json!([team(CREW), team(FLOOD)]);
+    configuration["tenants"] = json!([team(UNLIMITED_TEAM), team(FLOODING_TEAM)]);
     configuration
 }
--- a/crates/standin/src/site/endpoint.rs
+++ b/crates/standin/src/site/endpoint.rs
@@ -30,13 +30,13 @@
     /// `prefill` or `decode` for an engine.
     pub stage: Option<&'static str>,
     /// Time of a request, a prefill, or until the first event.
-    pub work: Duration,
+    pub work_time: Duration,
     /// Events of a stream.
-    pub events: u32,
+    pub event_count: u32,
     /// Time between events.
-    pub gap: Duration,
+    pub event_gap: Duration,
     /// Tokens that may be reserved at a time.
-    pub room: u64,
+    pub reservable_tokens: u64,
 }
 
 /// What an endpoint does wrong, until changed.
@@ -65,24 +65,24 @@
 
 /// Something that an endpoint ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SiteRun {
+pub struct SiteExecution {
     /// The caller's id.
-    pub request: String,
+    pub request_id: String,
     /// Whether only the prompt was read.
     pub prefill: bool,
     /// The event after which a stream went on.
-    pub after: Option<u32>,
+    pub resume_after: Option<u32>,
     /// The caller's team, as it was told.
     pub team: Option<String>,
     /// A key that was passed on.
-    pub key: Option<String>,
+    pub authorization: Option<String>,
     /// When it began.
-    pub at: Instant,
+    pub started_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    runs: Vec<SiteRun>,
+    runs: Vec<SiteExecution>,
     /// Requests being worked on.
     working: u32,
     holds: HashSet<String>,
@@ -134,7 +134,7 @@
     }
 
     /// Becomes true when a request crashes it.
-    pub fn crash(&self) -> watch::Receiver<bool> {
+    pub fn crash_signal(&self) -> watch::Receiver<bool> {
         self.crashed.clone()
     }
 
@@ -156,17 +156,17 @@
     }
 
     /// Everything that it ran.
-    pub fn runs(&self) -> Vec<SiteRun> {
+    pub fn executions(&self) -> Vec<SiteExecution> {
         self.lock().runs.clone()
     }
 
     /// Requests that it works on now.
-    pub fn working(&self) -> u32 {
+    pub fn active_requests(&self) -> u32 {
         self.lock().working
     }
 
     /// Reservations and KV caches that nobody has taken or given back.
-    pub fn kept(&self) -> usize {
+    pub fn unreleased(&self) -> usize {
         let inner = self.lock();
         inner.holds.len() + inner.handles.len()
     }
@@ -182,7 +182,7 @@
     }
 
     /// From now on its answers name a limit in `Server-Limit`, or none; any text, since tests send ones that are no numbers.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn advertise_limit(&self, limit: Option<&str>) {
         self.lock().limit = limit.map(str::to_owned);
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// From now on another endpoint has the address.
-    pub fn leave(&self) {
+    pub fn release_address(&self) {
         self.lock().left = true;
     }
 
@@ -283,7 +283,7 @@
         if path == "/-/hold-take" {
             let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
             let tokens = body["tokens"].as_u64().unwrap_or(0);
-            if inner.reserved + tokens > self.options.room {
+            if inner.reserved + tokens > self.options.reservable_tokens {
                 return Some((503, json!({})));
             }
             inner.next += 1;
@@ -326,13 +326,13 @@
                 inner.holds.remove(hold);
             }
             let (team, key) = (asked.header("tenant"), asked.header("authorization"));
-            inner.runs.push(SiteRun {
-                request: id.clone(),
+            inner.runs.push(SiteExecution {
+                request_id: id.clone(),
                 prefill,
-                after,
+                resume_after: after,
                 team: team.map(str::to_owned),
-                key: key.map(str::to_owned),
-                at: Instant::now(),
+                authorization: key.map(str::to_owned),
+                started_at: Instant::now(),
             });
             inner.working += 1;
             Working(self)
@@ -343,9 +343,9 @@
             let _ = read(stream, &mut buffer).await;
             return false;
         }
-        tokio::time::sleep(self.options.work).await;
+        tokio::time::sleep(self.options.work_time).await;
         let crashes = !prefill && asked.body == CRASHING_BODY.as_bytes();
-        if crashes && self.options.events == 0 {
+        if crashes && self.options.event_count == 0 {
             self.crash.send_replace(true);
             return false;
         }
@@ -371,7 +371,7 @@
             answer(stream, 500, &headers, "failed").await;
             return true;
         }
-        if self.options.events > 0 {
+        if self.options.event_count > 0 {
             let fault = if crashes { SiteFault::Cut(0) } else { fault };
             let goes_on = self.events(stream, &headers, &id, after.unwrap_or(0), fault).await;
             if crashes {
@@ -406,7 +406,7 @@
         if stream.write_all(text.as_bytes()).await.is_err() {
             return false;
         }
-        for number in after + 1..=self.options.events {
+        for number in after + 1..=self.options.event_count {
             if matches!(fault, SiteFault::Cut(cut) if number > cut) {
                 chunk(stream, &format!("id: {number}\nda")).await;
                 return false;
@@ -415,10 +415,10 @@
                 SiteFault::Large(bytes) => format!(": {}\n", ".".repeat(bytes)),
                 _ => String::new(),
             };
-            if !chunk(stream, &format!("{padding}{}", event(id, number))).await {
+            if !chunk(stream, &format!("{padding}{}", event_text(id, number))).await {
                 return false;
             }
-            tokio::time::sleep(self.options.gap).await;
+            tokio::time::sleep(self.options.event_gap).await;
         }
         chunk(stream, "").await
     }
@@ -429,6 +429,6 @@
 }
 
 /// The text of an event, a function of request and number, so that a caller can check that it got its own.
-pub fn event(request: &str, number: u32) -> String {
+pub fn event_text(request: &str, number: u32) -> String {
     format!("id: {number}\ndata: {request} {number}\n\n")
 }
--- a/crates/standin/src/site/instance.rs
+++ b/crates/standin/src/site/instance.rs
@@ -17,27 +17,27 @@
     /// Failure domain.
     pub domain: String,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where readiness is asked for.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Where other instances know it.
-    pub control: SocketAddr,
+    pub control_address: SocketAddr,
     /// Control addresses of some instances.
     pub seeds: Vec<SocketAddr>,
     /// Port for datagrams between instances.
-    pub peers: Option<u16>,
+    pub peer_port: Option<u16>,
     /// The store, or a proxy before it.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Whether the system starts for the first time.
-    pub first: bool,
+    pub first_start: bool,
     /// Memory that it may take, in MB.
-    pub memory: u64,
+    pub memory_mb: u64,
 }
 
 impl SiteSettings {
     fn text(&self) -> String {
         let seeds: Vec<_> = self.seeds.iter().map(ToString::to_string).collect();
-        let peers = self.peers.map(|port| format!("port_range={port},{port}\n")).unwrap_or_default();
+        let peers = self.peer_port.map(|port| format!("port_range={port},{port}\n")).unwrap_or_default();
         format!(
             "node={}\nzone={}\nlisten.front={}\nlisten.ready={}\nlisten.control={}\nseeds={}\n{peers}\
              first_start={}\nplatform.address={}\nbounds.grace_s=8\nbounds.drain_ms=2000\n\
@@ -45,13 +45,13 @@
              bounds.budget_slack=58\nbounds.budget_window_s=10\nlimits.memory_mb={}\n",
             self.name,
             self.domain,
-            self.callers,
-            self.ready,
-            self.control,
+            self.caller_address,
+            self.ready_address,
+            self.control_address,
             seeds.join(","),
-            self.first,
-            self.store,
-            self.memory
+            self.first_start,
+            self.store_address,
+            self.memory_mb
         )
     }
 }
@@ -96,7 +96,7 @@
     }
 
     /// Log lines that contain a text.
-    pub fn logged(&self, text: &str) -> Vec<String> {
+    pub fn log_lines(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
@@ -106,7 +106,7 @@
     /// # Errors
     /// `kill` cannot be run, or knows no such signal.
     pub fn signal(&mut self, name: &str) -> std::io::Result<()> {
-        if self.ended().is_some() {
+        if self.exit_success().is_some() {
             return Ok(());
         }
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status()?;
@@ -114,7 +114,7 @@
     }
 
     /// Whether it has ended, and if so whether well.
-    pub fn ended(&mut self) -> Option<bool> {
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -9,7 +9,7 @@
 mod store;
 
 pub use caller::{is_signed, site_request};
-pub use configuration::{CREW, FLOOD, SiteTeam, site_configuration};
-pub use endpoint::{CRASHING_BODY, SiteEndpoint, SiteFault, SiteOptions, SiteRun, event};
+pub use configuration::{FLOODING_TEAM, SiteTeam, UNLIMITED_TEAM, site_configuration};
+pub use endpoint::{CRASHING_BODY, SiteEndpoint, SiteExecution, SiteFault, SiteOptions, event_text};
 pub use instance::{SiteInstance, SiteSettings};
-pub use store::{Store, StoreCopy, StoreMode};
+pub use store::{Store, StoreBackup, StoreMode};
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -48,14 +48,14 @@
     /// What each watch asked to wait for, in milliseconds.
     waits: Vec<u64>,
     /// Whether every second call is refused as one too many.
-    crowded: bool,
+    rate_limited: bool,
     /// Told in all answers; `None` for an older platform.
     era: Option<u64>,
 }
 
 /// A copy of all that the store holds.
 #[derive(Debug, Clone)]
-pub struct StoreCopy {
+pub struct StoreBackup {
     revision: u64,
     items: BTreeMap<String, (String, u64)>,
 }
@@ -94,7 +94,7 @@
     }
 
     /// Writes the configuration with this number and with teams.
-    pub fn publish_teams(&self, version: u64) {
+    pub fn publish_with_teams(&self, version: u64) {
         self.put(CONFIGURATION, &site_teams(version));
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Forgets all changes so far; watches from before hear that their history is gone.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut inner = lock(&self.inner);
         inner.floor = inner.revision;
         inner.changes.clear();
@@ -121,17 +121,17 @@
     }
 
     /// A copy of what it holds.
-    pub fn copy(&self) -> StoreCopy {
+    pub fn backup(&self) -> StoreBackup {
         let inner = lock(&self.inner);
-        StoreCopy { revision: inner.revision, items: inner.items.clone() }
+        StoreBackup { revision: inner.revision, items: inner.items.clone() }
     }
 
     /// Comes back from a copy: what was written since is gone, its revisions are given out again, and the era rises.
-    pub fn go_back(&self, copy: StoreCopy) {
+    pub fn restore(&self, backup: StoreBackup) {
         let mut inner = lock(&self.inner);
-        inner.revision = copy.revision;
-        inner.items = copy.items;
-        inner.changes.retain(|(revision, _, _)| *revision <= copy.revision);
+        inner.revision = backup.revision;
+        inner.items = backup.items;
+        inner.changes.retain(|(revision, _, _)| *revision <= backup.revision);
         inner.era = Some(inner.era.unwrap_or(0) + 1);
         drop(inner);
         self.changed.send_modify(|n| *n += 1);
@@ -144,8 +144,8 @@
     }
 
     /// Refuses every second call from now on, as a store does beyond its rate.
-    pub fn set_crowded(&self, crowded: bool) {
-        lock(&self.inner).crowded = crowded;
+    pub fn set_rate_limited(&self, rate_limited: bool) {
+        lock(&self.inner).rate_limited = rate_limited;
     }
 
     /// Calls answered or not so far.
@@ -154,7 +154,7 @@
     }
 
     /// What each watch so far asked to wait for, in milliseconds, answered or not.
-    pub fn waits(&self) -> Vec<u64> {
+    pub fn watch_waits_ms(&self) -> Vec<u64> {
         lock(&self.inner).waits.clone()
     }
 
@@ -195,7 +195,7 @@
         let (mode, refused) = {
             let mut inner = lock(&inner);
             inner.calls += 1;
-            let refused = inner.crowded && inner.calls.is_multiple_of(2);
+            let refused = inner.rate_limited && inner.calls.is_multiple_of(2);
             if let Some(wait) = asked.query("wait_ms") {
                 inner.waits.push(wait.parse().unwrap_or(0));
             }
