--- a/crates/standin/src/commands/ask.rs
+++ b/crates/standin/src/commands/ask.rs
@@ -1,4 +1,4 @@
-//! `ask`: a caller that sends the first users' kinds of work and checks every answer.
+//! `ask`: a caller that sends the kinds of requests of the first users and checks every response.
 
 use std::time::{Duration, Instant};
 
@@ -10,10 +10,10 @@
 
 use super::CommandError;
 
-/// How long to wait for the instances to be ready.
-const READY: Duration = Duration::from_secs(30);
-/// Tokens of an answer at most.
-const LIMIT: u32 = 200;
+/// Longest wait until an instance is ready, and for the retries of a request.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Largest number of tokens of a response.
+const MAX_TOKENS: u32 = 200;
 const JOB_SHEET: &str = "Job sheet 1183, crusher BR-07, quarry Serra Branca: jaw plates worn to 40%, belt 3 \
     slipped twice, oil at 82 C after four hours, stopped at 15:10 to clear a blocked chute. Summarise for the \
     municipal road crew.";
@@ -28,13 +28,13 @@
     long: String,
     #[options(required, help = "model for quick lookups")]
     quick: String,
-    #[options(required, help = "service for calls that may not be repeated")]
+    #[options(required, help = "service for non-idempotent calls")]
     service: String,
 }
 
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     if arguments.instances.is_empty() {
-        return Err(wrong("no address of an instance was given"));
+        return Err(failure("no instance address is given"));
     }
     let caller = Caller { client: Client::builder().no_proxy().build()? };
     for instance in &arguments.instances {
@@ -48,8 +48,8 @@
     caller.retry_elsewhere(&arguments.instances, &arguments.service).await
 }
 
-fn wrong(text: impl Into<String>) -> CommandError {
-    CommandError::Wrong(text.into())
+fn failure(text: impl Into<String>) -> CommandError {
+    CommandError::Failed(text.into())
 }
 
 struct Caller {
@@ -67,30 +67,30 @@
             {
                 return Ok(());
             }
-            if start.elapsed() > READY {
-                return Err(wrong(format!("{instance} is not ready after {READY:?}")));
+            if start.elapsed() > READY_TIMEOUT {
+                return Err(failure(format!("{instance} is not ready after {READY_TIMEOUT:?}")));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// A job sheet, whole.
+    /// Requests the summary of a job sheet, in one response.
     async fn summarise(&self, instance: &str, model: &str) -> Result<(), CommandError> {
-        let body = json!({ "model": model, "prompt": JOB_SHEET, "max_tokens": LIMIT });
+        let body = json!({ "model": model, "prompt": JOB_SHEET, "max_tokens": MAX_TOKENS });
         let url = format!("http://{instance}/v1/completions");
-        let response = self.patiently(|| self.client.post(&url).json(&body).send()).await?;
+        let response = self.send_with_retries(|| self.client.post(&url).json(&body).send()).await?;
         let reply: Value = response.json().await?;
         let text = reply["choices"][0]["text"].as_str().unwrap_or_default();
-        check("summary", instance, text, &generated_text(JOB_SHEET, LIMIT))
+        check("summary", instance, text, &generated_text(JOB_SHEET, MAX_TOKENS))
     }
 
-    /// A desk lookup, streamed.
+    /// Looks up a machine, with a streamed response.
     async fn look_up(&self, instance: &str, model: &str) -> Result<(), CommandError> {
         let question = format!("Is crusher BR-12 free on 9 December? Desk {instance}.");
         let messages = json!([{ "role": "user", "content": question }]);
-        let body = json!({ "model": model, "messages": messages, "max_tokens": LIMIT, "stream": true });
+        let body = json!({ "model": model, "messages": messages, "max_tokens": MAX_TOKENS, "stream": true });
         let url = format!("http://{instance}/v1/chat/completions");
-        let response = self.patiently(|| self.client.post(&url).json(&body).send()).await?;
+        let response = self.send_with_retries(|| self.client.post(&url).json(&body).send()).await?;
         let events = response.text().await?;
         let mut text = String::new();
         let mut done = false;
@@ -103,32 +103,33 @@
             text.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
         }
         if !done {
-            return Err(wrong(format!("{instance}: the stream of a lookup has no end")));
+            return Err(failure(format!("{instance}: the stream of the lookup ended without [DONE]")));
         }
-        check("lookup", instance, &text, &generated_text(&format!("user: {question}\n"), LIMIT))
+        check("lookup", instance, &text, &generated_text(&format!("user: {question}\n"), MAX_TOKENS))
     }
 
-    /// A booking, which must not run twice.
+    /// Books a machine. The booking must not run twice.
     async fn book(&self, instance: &str, service: &str) -> Result<(), CommandError> {
         let url = format!("http://{instance}/services/{service}/bookings");
         let order = json!({ "machine": "BR-12", "days": 2, "desk": instance }).to_string();
-        let response = self.patiently(|| self.client.post(&url).body(order.clone()).send()).await?;
+        let response = self.send_with_retries(|| self.client.post(&url).body(order.clone()).send()).await?;
         let reply: Value = response.json().await?;
         println!("booking   {instance}: number {}", reply["number"]);
         check("booking", instance, reply["call"]["body"].as_str().unwrap_or_default(), &order)
     }
 
-    /// The same keyed booking through two instances: the second gets the first one's answer.
+    /// Sends a booking with the same idempotency key through each instance. All must respond as the first does.
     async fn retry_elsewhere(&self, instances: &[String], service: &str) -> Result<(), CommandError> {
         let order = json!({ "machine": "BR-03", "days": 1 }).to_string();
         let mut key = Uuid::now_v7().to_string();
         let mut numbers = Vec::new();
         for instance in instances {
             let url = format!("http://{instance}/services/{service}/bookings");
-            // A home that has just started cannot tell about keys made before; one made later it can.
+            // A home instance that has just started cannot know whether a key that was created before its
+            // start has been used. Until the first booking has run, each attempt therefore creates a new key.
             let mut reply = Value::Null;
             let start = Instant::now();
-            while reply["number"].is_null() && start.elapsed() < READY {
+            while reply["number"].is_null() && start.elapsed() < READY_TIMEOUT {
                 if numbers.is_empty() {
                     key = Uuid::now_v7().to_string();
                 }
@@ -141,13 +142,13 @@
         }
         println!("booking   with one key through {} instances: numbers {numbers:?}", instances.len());
         if numbers.windows(2).any(|pair| pair[0] != pair[1]) {
-            return Err(wrong("a booking with an idempotency key ran twice"));
+            return Err(failure("a booking with an idempotency key ran twice"));
         }
         Ok(())
     }
 
-    /// Comes back when told to, for as long as the start of a fleet may take.
-    async fn patiently<F, R>(&self, call: F) -> Result<Response, CommandError>
+    /// Retries a request after the `Retry-After` delay, for as long as the start of a fleet may take.
+    async fn send_with_retries<F, R>(&self, call: F) -> Result<Response, CommandError>
     where
         F: Fn() -> R,
         R: Future<Output = reqwest::Result<Response>>,
@@ -155,28 +156,31 @@
         let start = Instant::now();
         loop {
             let response = call().await?;
-            if response.status() == StatusCode::SERVICE_UNAVAILABLE && start.elapsed() < READY {
-                let after = response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
-                tokio::time::sleep(Duration::from_secs(after.unwrap_or(1))).await;
+            if response.status() == StatusCode::SERVICE_UNAVAILABLE && start.elapsed() < READY_TIMEOUT {
+                let retry_after =
+                    response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+                tokio::time::sleep(Duration::from_secs(retry_after.unwrap_or(1))).await;
                 continue;
             }
-            return whole(response).await;
+            return require_success(response).await;
         }
     }
 }
 
-async fn whole(response: Response) -> Result<Response, CommandError> {
+async fn require_success(response: Response) -> Result<Response, CommandError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
     }
     let text = response.text().await?;
-    Err(wrong(format!("status {status}: {text}")))
+    Err(failure(format!("status {status}: {text}")))
 }
 
 fn check(what: &str, instance: &str, got: &str, expected: &str) -> Result<(), CommandError> {
     if got != expected {
-        return Err(wrong(format!("{instance}: the {what} is not exact:\n got {got:?}\nwant {expected:?}")));
+        return Err(failure(format!(
+            "{instance}: the {what} differs from the expected one:\n got {got:?}\nwant {expected:?}"
+        )));
     }
     println!("{what:9} {instance}: exact, {} bytes: {:.60}...", got.len(), got);
     Ok(())
--- a/crates/standin/src/commands/fleet.rs
+++ b/crates/standin/src/commands/fleet.rs
@@ -1,10 +1,10 @@
-//! `fleet`: every endpoint of a configuration in one process.
+//! `fleet`: runs every endpoint of a configuration in one process.
 
 use gumdrop::Options;
 use teaselshunt_settings::{Role, parse_configuration};
 use teaselshunt_standin::{Engine, EngineOptions, Service};
 
-use super::{CommandError, end, read};
+use super::{CommandError, read_file, wait_for_shutdown_signal};
 
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
@@ -12,14 +12,14 @@
     help: bool,
     #[options(required, help = "configuration whose endpoints to run (JSON)")]
     configuration: String,
-    #[options(help = "go at the pace of real engines instead of as fast as tests want")]
+    #[options(help = "run engines as fast as real ones instead of as fast as tests need")]
     real: bool,
 }
 
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let path = arguments.configuration;
     let configuration =
-        parse_configuration(&read(&path)?).map_err(|mistakes| CommandError::Mistakes { path, mistakes })?;
+        parse_configuration(&read_file(&path)?).map_err(|errors| CommandError::Invalid { path, errors })?;
     let mut engines = Vec::new();
     let mut services = Vec::new();
     for endpoint in &configuration.endpoints {
@@ -34,5 +34,5 @@
         };
         engines.push(Engine::start(endpoint.address, options).await?);
     }
-    end().await
+    wait_for_shutdown_signal().await
 }
--- a/crates/standin/src/commands/mod.rs
+++ b/crates/standin/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one a file.
+//! The commands, each in a file of its own.
 
 mod ask;
 mod fleet;
@@ -11,8 +11,8 @@
 pub(crate) enum CommandError {
     #[error("{path}: {error}")]
     File { path: String, error: std::io::Error },
-    #[error("{path}: this cannot be used:\n{mistakes}")]
-    Mistakes { path: String, mistakes: teaselshunt_settings::ValidationErrors },
+    #[error("{path}: invalid configuration:\n{errors}")]
+    Invalid { path: String, errors: teaselshunt_settings::ValidationErrors },
     #[error("{0}")]
     Listen(#[from] std::io::Error),
     #[error("{0}")]
@@ -20,7 +20,7 @@
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("{0}")]
-    Wrong(String),
+    Failed(String),
 }
 
 #[derive(Debug, Options)]
@@ -29,7 +29,7 @@
     Platform(platform::Arguments),
     #[options(help = "run every endpoint of a configuration")]
     Fleet(fleet::Arguments),
-    #[options(help = "send real-looking work to entry instances and check every answer")]
+    #[options(help = "send realistic requests to entry instances and check every response")]
     Ask(ask::Arguments),
 }
 
@@ -43,12 +43,12 @@
     }
 }
 
-fn read(path: &str) -> Result<String, CommandError> {
+fn read_file(path: &str) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|error| CommandError::File { path: path.to_owned(), error })
 }
 
 /// Waits for SIGTERM or SIGINT.
-async fn end() -> Result<(), CommandError> {
+async fn wait_for_shutdown_signal() -> Result<(), CommandError> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/standin/src/commands/platform.rs
+++ b/crates/standin/src/commands/platform.rs
@@ -1,11 +1,11 @@
-//! `platform`: the platform as a process.
+//! `platform`: runs the platform in a process.
 
 use std::net::SocketAddr;
 
 use gumdrop::Options;
 use teaselshunt_standin::Platform;
 
-use super::{CommandError, end, read};
+use super::{CommandError, read_file, wait_for_shutdown_signal};
 
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
@@ -20,12 +20,12 @@
 }
 
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
-    let configuration = read(&arguments.configuration)?;
-    let instances = read(&arguments.instances)?;
-    let listen = arguments.listen.ok_or_else(|| CommandError::Wrong("--listen is required".to_owned()))?;
+    let configuration = read_file(&arguments.configuration)?;
+    let instances = read_file(&arguments.instances)?;
+    let listen = arguments.listen.ok_or_else(|| CommandError::Failed("--listen is required".to_owned()))?;
     let platform = Platform::start(listen, &configuration).await?;
     let list: serde_json::Value = serde_json::from_str(&instances)?;
     let revision = list["revision"].as_u64().unwrap_or(0);
     platform.publish_instances(revision, &instances);
-    end().await
+    wait_for_shutdown_signal().await
 }
--- a/crates/standin/src/engine/gate.rs
+++ b/crates/standin/src/engine/gate.rs
@@ -1,4 +1,4 @@
-//! A limited number of places, given by priority and then by arrival.
+//! A semaphore that grants permits by priority and then in order of arrival.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,25 +8,25 @@
 #[derive(Debug)]
 struct Inner {
     free: u32,
-    next: u64,
-    waiting: BTreeMap<(u8, u64), oneshot::Sender<Place>>,
+    next_arrival: u64,
+    waiting: BTreeMap<(u8, u64), oneshot::Sender<Permit>>,
 }
 
-/// Hands out places.
+/// A fixed number of permits. The lowest priority value comes first.
 #[derive(Debug, Clone)]
-pub(crate) struct Gate {
+pub(crate) struct PrioritySemaphore {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// A place; given back when dropped.
+/// A permit; released when dropped.
 #[derive(Debug)]
-pub(crate) struct Place {
-    gate: Gate,
+pub(crate) struct Permit {
+    semaphore: PrioritySemaphore,
 }
 
-impl Gate {
-    pub(crate) fn new(places: u32) -> Self {
-        let inner = Inner { free: places, next: 0, waiting: BTreeMap::new() };
+impl PrioritySemaphore {
+    pub(crate) fn new(permits: u32) -> Self {
+        let inner = Inner { free: permits, next_arrival: 0, waiting: BTreeMap::new() };
         Self { inner: Arc::new(Mutex::new(inner)) }
     }
 
@@ -34,17 +34,17 @@
         self.lock().waiting.len() as u32
     }
 
-    pub(crate) async fn enter(&self, priority: u8) -> Option<Place> {
+    pub(crate) async fn acquire(&self, priority: u8) -> Option<Permit> {
         let receiver = {
             let mut inner = self.lock();
             if inner.free > 0 {
                 inner.free -= 1;
-                return Some(Place { gate: self.clone() });
+                return Some(Permit { semaphore: self.clone() });
             }
             let (sender, receiver) = oneshot::channel();
-            let order = inner.next;
-            inner.next += 1;
-            inner.waiting.insert((priority, order), sender);
+            let arrival = inner.next_arrival;
+            inner.next_arrival += 1;
+            inner.waiting.insert((priority, arrival), sender);
             receiver
         };
         receiver.await.ok()
@@ -55,10 +55,10 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         let next = {
-            let mut inner = self.gate.lock();
+            let mut inner = self.semaphore.lock();
             let next = inner.waiting.pop_first();
             if next.is_none() {
                 inner.free += 1;
@@ -66,8 +66,8 @@
             next
         };
         if let Some((_, sender)) = next {
-            // If the waiter is gone, the place comes back through the drop of what could not be sent.
-            drop(sender.send(Place { gate: self.gate.clone() }));
+            // If the waiter is gone, `send` returns the permit, and dropping that permit releases it.
+            drop(sender.send(Permit { semaphore: self.semaphore.clone() }));
         }
     }
 }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -15,7 +15,7 @@
 };
 
 use super::Faults;
-use super::state::{Cache, State, Stream};
+use super::state::{KvCache, State, Stream};
 use crate::content;
 
 pub(crate) fn route(state: Arc<State>) -> impl poem::Endpoint {
@@ -26,22 +26,22 @@
         .at(engine::DECODE_PATH, post(decode))
         .at(engine::CANCEL_PATH, post(cancel))
         .at(engine::LOAD_PATH, get(load))
-        .at(engine::CACHE_EVENTS_PATH, get(events))
-        .at(engine::ORDERS_PATH, post(take_order))
+        .at(engine::CACHE_EVENTS_PATH, get(cache_events))
+        .at(engine::ORDERS_PATH, post(accept_order))
         .at("/faults", post(set_faults))
         .data(state)
 }
 
-fn fault(status: StatusCode, error: EngineFault) -> Response {
+fn error_response(status: StatusCode, error: EngineFault) -> Response {
     Json(EngineError { error }).with_status(status).into_response()
 }
 
-/// Refuses a new step if the engine is told to.
+/// The refusal of a new step, if the faults require one.
 fn refusal(faults: &Faults) -> Option<Response> {
     if faults.leaving {
-        return Some(fault(StatusCode::SERVICE_UNAVAILABLE, EngineFault::Leaving));
+        return Some(error_response(StatusCode::SERVICE_UNAVAILABLE, EngineFault::Leaving));
     }
-    faults.refuse.then(|| fault(StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy))
+    faults.refuse.then(|| error_response(StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy))
 }
 
 #[handler]
@@ -51,47 +51,47 @@
         return refusal;
     }
     if request.prompt.is_empty() {
-        return fault(StatusCode::BAD_REQUEST, EngineFault::Rejected);
+        return error_response(StatusCode::BAD_REQUEST, EngineFault::Rejected);
     }
     if !state.begin_prefill(&request.request_id) {
-        return fault(StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy);
+        return error_response(StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy);
     }
-    // In a task of its own: an engine does not notice that a client is gone.
+    // The prefill runs in a task of its own, since an engine does not notice that a client has disconnected.
     let work = tokio::spawn(run_prefill(Arc::clone(state), request));
     if faults.drop {
-        return crate::server::broken();
+        return crate::server::truncated_response();
     }
     match work.await {
         Ok(Some(response)) => Json(response).into_response(),
-        _ => fault(StatusCode::GONE, EngineFault::Evicted),
+        _ => error_response(StatusCode::GONE, EngineFault::Evicted),
     }
 }
 
 async fn run_prefill(state: Arc<State>, request: PrefillRequest) -> Option<PrefillResponse> {
     let id = request.request_id;
-    let _place = state.gate.enter(request.priority).await?;
+    let _permit = state.prefill_permits.acquire(request.priority).await?;
     if !state.is_held(&id) {
         return None;
     }
     let tokens = (request.prompt.len() as u32).div_ceil(4) + request.offset;
-    let cached = (state.touch_prefix(&request.prompt) as u32 * 16).min(tokens);
-    let left = tokens - cached;
+    let cached = (state.update_prefix_cache(&request.prompt) as u32 * 16).min(tokens);
+    let uncached = tokens - cached;
     state
-        .work(Duration::from_secs_f64(f64::from(left) / f64::from(state.options.prefill_tokens_per_s)))
+        .work(Duration::from_secs_f64(f64::from(uncached) / f64::from(state.options.prefill_tokens_per_s)))
         .await;
     let bytes = u64::from(tokens) * state.options.kv_bytes_per_token;
-    let cache = Cache { prompt: request.prompt, offset: request.offset, bytes };
+    let cache = KvCache { prompt: request.prompt, offset: request.offset, bytes };
     if !state.end_prefill(&id, cache) {
         return None;
     }
     if state.faults().evict {
         state.evict(&id);
     }
-    let keep = state.options.result_ttl;
-    let (keeper, kept) = (Arc::clone(&state), id.clone());
+    let ttl = state.options.result_ttl;
+    let (owner, expiring) = (Arc::clone(&state), id.clone());
     tokio::spawn(async move {
-        tokio::time::sleep(keep).await;
-        keeper.evict(&kept);
+        tokio::time::sleep(ttl).await;
+        owner.evict(&expiring);
     });
     Some(PrefillResponse { handle: id, prompt_tokens: tokens, cached_tokens: cached, kv_bytes: bytes })
 }
@@ -99,10 +99,10 @@
 #[handler]
 async fn export(Data(state): Data<&Arc<State>>, Path(handle): Path<String>) -> Response {
     let Some(cache) = state.export(&handle) else {
-        return fault(StatusCode::GONE, EngineFault::Evicted);
+        return error_response(StatusCode::GONE, EngineFault::Evicted);
     };
-    let moved = state.link(cache.bytes);
-    tokio::time::sleep_until(moved).await;
+    let transferred_at = state.queue_transfer(cache.bytes);
+    tokio::time::sleep_until(transferred_at).await;
     state.work(Duration::ZERO).await;
     state.evict(&handle);
     Json(cache).into_response()
@@ -114,17 +114,17 @@
     if let Some(refusal) = refusal(&faults) {
         return refusal;
     }
-    let empty = Cache { prompt: String::new(), offset: 0, bytes: 0 };
-    if !state.is_decode() || !state.keep_slot(&request.request_id, empty) {
-        return fault(StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy);
+    let empty = KvCache { prompt: String::new(), offset: 0, bytes: 0 };
+    if !state.is_decode() || !state.reserve_slot(&request.request_id, empty) {
+        return error_response(StatusCode::TOO_MANY_REQUESTS, EngineFault::Busy);
     }
     let work = tokio::spawn(run_import(Arc::clone(state), request));
     if faults.drop {
-        return crate::server::broken();
+        return crate::server::truncated_response();
     }
     match work.await {
         Ok(Some(response)) => Json(response).into_response(),
-        _ => fault(StatusCode::GONE, EngineFault::Evicted),
+        _ => error_response(StatusCode::GONE, EngineFault::Evicted),
     }
 }
 
@@ -132,9 +132,9 @@
     let id = request.request_id;
     state.work(Duration::ZERO).await;
     let url = format!("http://{}{}/{}", request.origin, engine::EXPORT_PATH, request.handle);
-    let fetched = async { reqwest::get(url).await?.error_for_status()?.json::<Cache>().await };
+    let fetched = async { reqwest::get(url).await?.error_for_status()?.json::<KvCache>().await };
     let Ok(cache) = fetched.await else {
-        state.drop_held(&id);
+        state.release(&id);
         return None;
     };
     let bytes = cache.bytes;
@@ -144,82 +144,83 @@
 #[handler]
 fn decode(Data(state): Data<&Arc<State>>, Json(request): Json<DecodeRequest>) -> Response {
     let id = request.request_id;
-    let begun = match &request.resume {
-        Some(old) => state.resume(old, &id),
+    let started = match &request.resume {
+        Some(old_id) => state.resume(old_id, &id),
         None => state.begin_stream(&id, |prompt| match state.options.output_tokens {
             Some(length) => length.min(request.max_tokens),
             None => content::generated_length(prompt, request.max_tokens),
         }),
     };
-    let Some((stream, number)) = begun else {
-        return fault(StatusCode::GONE, EngineFault::Evicted);
+    let Some((stream, reader_number)) = started else {
+        return error_response(StatusCode::GONE, EngineFault::Evicted);
     };
     if request.resume.is_none() {
         tokio::spawn(generate(Arc::clone(state), stream.clone()));
     }
-    let reading = Reading { state: Arc::clone(state), id, stream, number, next: request.offset };
-    let body = Body::from_bytes_stream(read(reading));
+    let reader = StreamReader { state: Arc::clone(state), id, stream, reader_number, next: request.offset };
+    let body = Body::from_bytes_stream(token_events(reader));
     Response::builder().content_type("text/event-stream").body(body)
 }
 
 async fn generate(state: Arc<State>, stream: Stream) {
-    while *stream.made.borrow() < stream.length && state.streaming(&stream) {
-        let gap = state.options.token_gap * (100 + state.batch() / 2) / 100;
+    while *stream.generated.borrow() < stream.length && state.is_stream_held(&stream) {
+        let gap = state.options.token_gap * (100 + state.batch_percent() / 2) / 100;
         state.work(gap).await;
-        stream.made.send_modify(|made| *made += 1);
+        stream.generated.send_modify(|generated| *generated += 1);
     }
 }
 
-/// A connection that reads a stream.
-struct Reading {
+/// A connection that reads a stream. `next` is the offset of its next token.
+struct StreamReader {
     state: Arc<State>,
     id: String,
     stream: Stream,
-    number: u32,
+    reader_number: u32,
     next: u32,
 }
 
-fn read(reading: Reading) -> impl FutureStream<Item = std::io::Result<Bytes>> {
-    stream::unfold(reading, |mut reading| async move {
-        if reading.next >= reading.stream.length {
+fn token_events(reader: StreamReader) -> impl FutureStream<Item = std::io::Result<Bytes>> {
+    stream::unfold(reader, |mut reader| async move {
+        if reader.next >= reader.stream.length {
             return None;
         }
-        let mut made = reading.stream.made.subscribe();
-        let mut reader = reading.stream.reader.subscribe();
-        let next = reading.next;
+        let mut generated = reader.stream.generated.subscribe();
+        let mut current_reader = reader.stream.reader.subscribe();
+        let next = reader.next;
         tokio::select! {
-            ready = made.wait_for(|made| *made > next) => drop(ready.ok()?),
-            taken = reader.wait_for(|number| *number != reading.number) => {
-                drop(taken);
+            ready = generated.wait_for(|generated| *generated > next) => drop(ready.ok()?),
+            replaced = current_reader.wait_for(|number| *number != reader.reader_number) => {
+                drop(replaced);
                 return None;
             }
         }
-        if *reading.stream.reader.borrow() != reading.number {
+        if *reader.stream.reader.borrow() != reader.reader_number {
             return None;
         }
-        if reading.state.faults().drop {
-            return Some((Err(std::io::Error::other("dropped on command")), reading));
+        if reader.state.faults().drop {
+            return Some((Err(std::io::Error::other("connection dropped by an injected fault")), reader));
         }
-        if !reading.state.streaming(&reading.stream) {
+        if !reader.state.is_stream_held(&reader.stream) {
             return None;
         }
-        let last = next + 1 == reading.stream.length;
-        let natural = content::generated_length(&reading.stream.prompt, u32::MAX) == reading.stream.length;
-        let finish = last.then(|| if natural { "stop".to_owned() } else { "length".to_owned() });
+        let last = next + 1 == reader.stream.length;
+        let unlimited = content::generated_length(&reader.stream.prompt, u32::MAX) == reader.stream.length;
+        let finish = last.then(|| if unlimited { "stop".to_owned() } else { "length".to_owned() });
         let event =
-            TokenEvent { offset: next, text: content::generated_token(&reading.stream.prompt, next), finish };
-        reading.next += 1;
+            TokenEvent { offset: next, text: content::generated_token(&reader.stream.prompt, next), finish };
+        reader.next += 1;
         if last {
-            reading.state.drop_held(&reading.id);
+            reader.state.release(&reader.id);
         }
-        let text = format!("data: {}\n\n", serde_json::to_string(&event).expect("a token event is JSON"));
-        Some((Ok(Bytes::from(text)), reading))
+        let text =
+            format!("data: {}\n\n", serde_json::to_string(&event).expect("a token event serializes to JSON"));
+        Some((Ok(Bytes::from(text)), reader))
     })
 }
 
 #[handler]
 fn cancel(Data(state): Data<&Arc<State>>, Json(request): Json<CancelRequest>) -> Json<CancelResponse> {
-    Json(CancelResponse { held: state.drop_held(&request.request_id) })
+    Json(CancelResponse { held: state.release(&request.request_id) })
 }
 
 #[handler]
@@ -228,25 +229,25 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct After {
+struct AfterQuery {
     #[serde(default)]
     after: u64,
 }
 
 #[derive(Debug, Serialize)]
-struct Events {
+struct CacheEvents {
     events: Vec<teaselshunt_wire::engine::CacheEvent>,
 }
 
 #[handler]
-fn events(Data(state): Data<&Arc<State>>, Query(query): Query<After>) -> Response {
-    Json(Events { events: state.events(query.after) }).into_response()
+fn cache_events(Data(state): Data<&Arc<State>>, Query(query): Query<AfterQuery>) -> Response {
+    Json(CacheEvents { events: state.events(query.after) }).into_response()
 }
 
 #[handler]
-async fn take_order(Data(state): Data<&Arc<State>>, Json(order): Json<Order>) -> Response {
-    if !state.order(order.fence, order.load) {
-        return fault(StatusCode::CONFLICT, EngineFault::Fenced);
+async fn accept_order(Data(state): Data<&Arc<State>>, Json(order): Json<Order>) -> Response {
+    if !state.accept_order(order.fence, order.load) {
+        return error_response(StatusCode::CONFLICT, EngineFault::Fenced);
     }
     state.work(state.options.weights_load_time).await;
     Json(state.report()).into_response()
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,7 +1,8 @@
-//! A stand-in of a prefill or decode engine; see docs/ENGINE.md.
+//! A stand-in for a prefill or decode engine; see docs/ENGINE.md.
 //!
-//! It holds memory the way engines do: a prefill result until it is evicted, a decode slot until its stream
-//! was read to the end or was cancelled. It does not notice that a client is gone; that is the router's task.
+//! The stand-in holds memory the way engines do: a prefill result until it is evicted, a decode slot until
+//! its stream was read to the end or was cancelled. The stand-in does not notice that a client has
+//! disconnected: the router must cancel the request.
 
 mod gate;
 mod http;
@@ -14,33 +15,33 @@
 use serde::{Deserialize, Serialize};
 use teaselshunt_settings::Role;
 
-use crate::server::Running;
+use crate::server::ServerHandle;
 use state::State;
 
-/// How a stand-in behaves when nothing is wrong.
+/// Behaviour of a stand-in engine without faults.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
     /// Prefill or decode.
     pub role: Role,
-    /// Requests that it works on at once.
+    /// Requests that it runs at the same time.
     pub slots: u32,
     /// Prompt tokens prefilled a second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens with one request running; grows by half up to a full batch.
+    /// Time between two tokens while one request runs; half as long again with a full batch.
     pub token_gap: Duration,
     /// How long a prefill result is kept.
     pub result_ttl: Duration,
-    /// Rate of its link, in bytes a second.
+    /// Bandwidth of its link, in bytes a second.
     pub link_bytes_per_s: u64,
     /// Bytes of KV cache for each prompt token.
     pub kv_bytes_per_token: u64,
     /// Blocks of 64 bytes of prompt in the prefix cache.
     pub prefix_cache_blocks: usize,
-    /// Age of load reports.
+    /// Time between two refreshes of the load report, and thus the report's largest age.
     pub report_interval: Duration,
     /// How long loading weights takes.
     pub weights_load_time: Duration,
-    /// Length of every answer that its limit allows; without it the prompt decides.
+    /// Tokens of each generated text, up to the request's limit; by default the prompt determines the number.
     pub output_tokens: Option<u32>,
 }
 
@@ -62,13 +63,13 @@
         }
     }
 
-    /// An engine at the pace of a real one: 8,000 prompt tokens a second, 20 ms between tokens.
+    /// An engine as fast as a real one: 8,000 prompt tokens a second, 20 ms between tokens.
     pub fn realistic(role: Role, slots: u32) -> Self {
         Self { slots, prefill_tokens_per_s: 8_000, token_gap: Duration::from_millis(20), ..Self::fast(role) }
     }
 }
 
-/// What is wrong with a stand-in.
+/// Faults of a stand-in engine.
 #[expect(clippy::struct_excessive_bools, reason = "each fault is set on its own")]
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -77,28 +78,28 @@
     pub stall: bool,
     /// Everything takes this many times as long; 0 and 1 are normal.
     pub slow: u32,
-    /// Connections of new steps are broken after the step was taken on.
+    /// Connections of new steps break after the step was accepted; streams end before their next token.
     pub drop: bool,
     /// New steps are refused as busy.
     pub refuse: bool,
-    /// New steps are refused, and reports say that it leaves.
+    /// New steps are refused, and load reports say that the engine is leaving.
     pub leaving: bool,
-    /// Prefill results are gone at once.
+    /// Prefill results are evicted at once.
     pub evict: bool,
-    /// Load reports are not renewed.
+    /// Load reports are not refreshed.
     pub lag: bool,
-    /// Orders are taken whatever their fencing number.
+    /// Orders are accepted whatever their fencing number.
     pub ignore_fencing: bool,
     /// Every second cache event is lost.
     pub gaps: bool,
 }
 
-/// A running stand-in.
+/// A running stand-in engine.
 #[derive(Debug)]
 pub struct Engine {
     state: Arc<State>,
-    running: Running,
-    sampler: tokio::task::JoinHandle<()>,
+    server: ServerHandle,
+    maintenance: tokio::task::JoinHandle<()>,
 }
 
 impl Engine {
@@ -108,39 +109,39 @@
     /// The address cannot be listened on.
     pub async fn start(address: SocketAddr, options: EngineOptions) -> std::io::Result<Self> {
         let state = Arc::new(State::new(options));
-        let running = Running::start(address, http::route(Arc::clone(&state))).await?;
-        let sampler = tokio::spawn(state::sample(Arc::clone(&state)));
-        Ok(Self { state, running, sampler })
+        let server = ServerHandle::start(address, http::route(Arc::clone(&state))).await?;
+        let maintenance = tokio::spawn(state::maintain(Arc::clone(&state)));
+        Ok(Self { state, server, maintenance })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
-        self.running.address
+        self.server.address
     }
 
-    /// Sets what is wrong from now on.
+    /// Replaces its faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
-    /// Ids of requests that it holds memory for, now.
+    /// Ids of the requests that it holds memory for now.
     pub fn held_requests(&self) -> Vec<String> {
-        self.state.held()
+        self.state.held_requests()
     }
 
-    /// Prefills started, over its life.
+    /// Number of prefills started so far.
     pub fn prefills_started(&self) -> u64 {
-        self.state.prefills()
+        self.state.prefills_started()
     }
 
-    /// Streams started, over its life.
+    /// Number of streams started so far.
     pub fn streams_started(&self) -> u64 {
-        self.state.streams()
+        self.state.streams_started()
     }
 }
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.sampler.abort();
+        self.maintenance.abort();
     }
 }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and how that changes.
+//! The state of an engine: held memory, prefix cache and load report.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,13 +10,13 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::gate::Gate;
+use super::gate::PrioritySemaphore;
 use super::{EngineOptions, Faults};
 
 /// Bytes of prompt in a block of the prefix cache.
-const BLOCK: usize = 64;
-/// How long a finished stream that nobody reads is kept.
-const LINGER: Duration = Duration::from_secs(30);
+const BLOCK_BYTES: usize = 64;
+/// How long a finished stream is held if no connection reads it to the end.
+const FINISHED_STREAM_TTL: Duration = Duration::from_secs(30);
 
 /// Memory held for a request.
 #[derive(Debug)]
@@ -24,16 +24,16 @@
     /// A prefill is waiting or running.
     Prefilling,
     /// A prefill result.
-    Cache(Cache),
-    /// A KV cache that was imported and waits for its decode.
-    Imported(Cache),
+    Cache(KvCache),
+    /// An imported KV cache that waits for its decode.
+    Imported(KvCache),
     /// A stream.
     Stream(Stream),
 }
 
-/// A KV cache, as far as a stand-in needs one.
+/// A KV cache, reduced to what a stand-in needs.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub(crate) struct Cache {
+pub(crate) struct KvCache {
     pub(crate) prompt: String,
     pub(crate) offset: u32,
     pub(crate) bytes: u64,
@@ -43,11 +43,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Stream {
     pub(crate) prompt: String,
-    /// Tokens of the whole answer.
+    /// Tokens of the complete text.
     pub(crate) length: u32,
     /// Tokens generated so far.
-    pub(crate) made: Arc<watch::Sender<u32>>,
-    /// Number of the connection that may read.
+    pub(crate) generated: Arc<watch::Sender<u32>>,
+    /// Number of the connection that may read the stream; each resume raises it.
     pub(crate) reader: Arc<watch::Sender<u32>>,
 }
 
@@ -56,21 +56,21 @@
     faults: Faults,
     held: BTreeMap<String, Held>,
     report: LoadReport,
-    prefix: VecDeque<u64>,
+    prefix_cache: VecDeque<u64>,
     events: Vec<CacheEvent>,
     sequence: u64,
-    link_free: Instant,
+    link_free_at: Instant,
     loaded: Option<Load>,
-    fence: u64,
-    prefills: u64,
-    streams: u64,
+    fencing_number: u64,
+    prefills_started: u64,
+    streams_started: u64,
 }
 
 /// An engine's state.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) options: EngineOptions,
-    pub(crate) gate: Gate,
+    pub(crate) prefill_permits: PrioritySemaphore,
     inner: Mutex<Inner>,
 }
 
@@ -90,16 +90,16 @@
             faults: Faults::default(),
             held: BTreeMap::new(),
             report,
-            prefix: VecDeque::new(),
+            prefix_cache: VecDeque::new(),
             events: Vec::new(),
             sequence: 0,
-            link_free: Instant::now(),
+            link_free_at: Instant::now(),
             loaded: None,
-            fence: 0,
-            prefills: 0,
-            streams: 0,
+            fencing_number: 0,
+            prefills_started: 0,
+            streams_started: 0,
         };
-        Self { gate: Gate::new(options.slots), options, inner: Mutex::new(inner) }
+        Self { prefill_permits: PrioritySemaphore::new(options.slots), options, inner: Mutex::new(inner) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -114,41 +114,41 @@
         self.lock().faults = faults;
     }
 
-    pub(crate) fn held(&self) -> Vec<String> {
+    pub(crate) fn held_requests(&self) -> Vec<String> {
         self.lock().held.keys().cloned().collect()
     }
 
-    pub(crate) fn prefills(&self) -> u64 {
-        self.lock().prefills
+    pub(crate) fn prefills_started(&self) -> u64 {
+        self.lock().prefills_started
     }
 
-    pub(crate) fn streams(&self) -> u64 {
-        self.lock().streams
+    pub(crate) fn streams_started(&self) -> u64 {
+        self.lock().streams_started
     }
 
-    /// Time that a piece of work takes; waits for ever while the engine is stalled.
-    pub(crate) async fn work(&self, normal: Duration) {
+    /// Waits for the duration of an operation, and then for as long as the engine is stalled.
+    pub(crate) async fn work(&self, nominal: Duration) {
         let factor = self.faults().slow.max(1);
-        tokio::time::sleep(normal * factor).await;
+        tokio::time::sleep(nominal * factor).await;
         while self.faults().stall {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Takes a prefill on; `false` if the engine is full. Twice its slots may wait.
+    /// Accepts a prefill; `false` if the engine is full. Twice as many prefills as it has slots may wait.
     pub(crate) fn begin_prefill(&self, id: &str) -> bool {
         let mut inner = self.lock();
-        let working = inner.held.values().filter(|h| matches!(h, Held::Prefilling)).count();
-        if working >= 3 * self.options.slots as usize {
+        let accepted = inner.held.values().filter(|h| matches!(h, Held::Prefilling)).count();
+        if accepted >= 3 * self.options.slots as usize {
             return false;
         }
-        inner.prefills += 1;
+        inner.prefills_started += 1;
         inner.held.insert(id.to_owned(), Held::Prefilling);
         true
     }
 
-    /// Ends a prefill that was not cancelled meanwhile.
-    pub(crate) fn end_prefill(&self, id: &str, cache: Cache) -> bool {
+    /// Stores the result of a prefill; `false` if the prefill was cancelled meanwhile.
+    pub(crate) fn end_prefill(&self, id: &str, cache: KvCache) -> bool {
         let mut inner = self.lock();
         let Some(held) = inner.held.get_mut(id) else {
             return false;
@@ -161,7 +161,7 @@
         self.lock().held.contains_key(id)
     }
 
-    /// Drops a prefill result whose time is over.
+    /// Evicts a prefill result; anything else that is held under the id stays.
     pub(crate) fn evict(&self, id: &str) {
         let mut inner = self.lock();
         if matches!(inner.held.get(id), Some(Held::Cache(_))) {
@@ -169,23 +169,23 @@
         }
     }
 
-    pub(crate) fn export(&self, id: &str) -> Option<Cache> {
+    pub(crate) fn export(&self, id: &str) -> Option<KvCache> {
         match self.lock().held.get(id) {
             Some(Held::Cache(cache)) => Some(cache.clone()),
             _ => None,
         }
     }
 
-    /// When the link will have moved `bytes` after everything before.
-    pub(crate) fn link(&self, bytes: u64) -> Instant {
+    /// Queues a transfer on the link, which carries one at a time, and returns the instant of its completion.
+    pub(crate) fn queue_transfer(&self, bytes: u64) -> Instant {
         let mut inner = self.lock();
-        let took = Duration::from_secs_f64(bytes as f64 / self.options.link_bytes_per_s as f64);
-        inner.link_free = inner.link_free.max(Instant::now()) + took;
-        inner.link_free
+        let transfer_time = Duration::from_secs_f64(bytes as f64 / self.options.link_bytes_per_s as f64);
+        inner.link_free_at = inner.link_free_at.max(Instant::now()) + transfer_time;
+        inner.link_free_at
     }
 
-    /// Keeps a decode slot; `false` if there is none.
-    pub(crate) fn keep_slot(&self, id: &str, cache: Cache) -> bool {
+    /// Reserves a decode slot; `false` if none is free.
+    pub(crate) fn reserve_slot(&self, id: &str, cache: KvCache) -> bool {
         let mut inner = self.lock();
         if inner.held.len() >= self.options.slots as usize {
             return false;
@@ -194,7 +194,8 @@
         true
     }
 
-    pub(crate) fn fill_slot(&self, id: &str, cache: Cache) -> bool {
+    /// Stores an imported cache in the request's slot; `false` if the slot was released meanwhile.
+    pub(crate) fn fill_slot(&self, id: &str, cache: KvCache) -> bool {
         let mut inner = self.lock();
         let Some(held) = inner.held.get_mut(id) else {
             return false;
@@ -203,7 +204,7 @@
         true
     }
 
-    /// Turns an imported cache into a stream.
+    /// Turns an imported cache into a stream, and returns it with the number of its reader.
     pub(crate) fn begin_stream(&self, id: &str, length: impl Fn(&str) -> u32) -> Option<(Stream, u32)> {
         let mut inner = self.lock();
         let held = inner.held.get_mut(id)?;
@@ -214,21 +215,21 @@
         let stream = Stream {
             prompt: cache.prompt.clone(),
             length: length(&cache.prompt),
-            made: Arc::new(watch::Sender::new(offset)),
+            generated: Arc::new(watch::Sender::new(offset)),
             reader: Arc::new(watch::Sender::new(1)),
         };
         *held = Held::Stream(stream.clone());
-        inner.streams += 1;
+        inner.streams_started += 1;
         Some((stream, 1))
     }
 
-    /// Takes a stream up under a new id; whoever read it under the old one gets nothing more.
-    pub(crate) fn resume(&self, old: &str, id: &str) -> Option<(Stream, u32)> {
+    /// Resumes a stream under a new id; the connection that reads it under the old id gets nothing more.
+    pub(crate) fn resume(&self, old_id: &str, id: &str) -> Option<(Stream, u32)> {
         let mut inner = self.lock();
-        if !matches!(inner.held.get(old), Some(Held::Stream(_))) {
+        if !matches!(inner.held.get(old_id), Some(Held::Stream(_))) {
             return None;
         }
-        let Some(Held::Stream(stream)) = inner.held.remove(old) else {
+        let Some(Held::Stream(stream)) = inner.held.remove(old_id) else {
             return None;
         };
         stream.reader.send_modify(|number| *number += 1);
@@ -237,39 +238,42 @@
         Some((stream, number))
     }
 
-    /// Share of the batch in use, in hundredths.
-    pub(crate) fn batch(&self) -> u32 {
+    /// Fraction of the batch in use, in percent.
+    pub(crate) fn batch_percent(&self) -> u32 {
         self.lock().held.len() as u32 * 100 / self.options.slots.max(1)
     }
 
-    /// Whether a stream is still wanted under any id.
-    pub(crate) fn streaming(&self, stream: &Stream) -> bool {
+    /// Whether a stream is still held under any id.
+    pub(crate) fn is_stream_held(&self, stream: &Stream) -> bool {
         let inner = self.lock();
-        inner.held.values().any(|h| matches!(h, Held::Stream(s) if Arc::ptr_eq(&s.made, &stream.made)))
+        inner
+            .held
+            .values()
+            .any(|h| matches!(h, Held::Stream(s) if Arc::ptr_eq(&s.generated, &stream.generated)))
     }
 
-    /// Drops whatever is held under an id.
-    pub(crate) fn drop_held(&self, id: &str) -> bool {
+    /// Releases what is held under an id; `false` if nothing is.
+    pub(crate) fn release(&self, id: &str) -> bool {
         self.lock().held.remove(id).is_some()
     }
 
-    /// Prompt blocks found in the prefix cache; the others are stored, the oldest evicted.
-    pub(crate) fn touch_prefix(&self, prompt: &str) -> usize {
+    /// Counts the prompt's blocks that the prefix cache has; stores the others, and evicts the oldest blocks.
+    pub(crate) fn update_prefix_cache(&self, prompt: &str) -> usize {
         let mut inner = self.lock();
         let mut found = 0;
         let mut hash = 0;
-        for chunk in prompt.as_bytes().chunks_exact(BLOCK) {
+        for chunk in prompt.as_bytes().chunks_exact(BLOCK_BYTES) {
             hash = xxh3_64(chunk) ^ u64::rotate_left(hash, 1);
-            if inner.prefix.contains(&hash) {
+            if inner.prefix_cache.contains(&hash) {
                 found += 1;
                 continue;
             }
-            inner.prefix.push_back(hash);
-            inner.log(hash, true);
-            if inner.prefix.len() > self.options.prefix_cache_blocks
-                && let Some(old) = inner.prefix.pop_front()
+            inner.prefix_cache.push_back(hash);
+            inner.record_event(hash, true);
+            if inner.prefix_cache.len() > self.options.prefix_cache_blocks
+                && let Some(oldest) = inner.prefix_cache.pop_front()
             {
-                inner.log(old, false);
+                inner.record_event(oldest, false);
             }
         }
         found
@@ -283,18 +287,18 @@
         self.lock().report.clone()
     }
 
-    /// Takes an order unless its fencing number is old and the engine checks.
-    pub(crate) fn order(&self, fence: u64, load: Load) -> bool {
+    /// Accepts an order; `false` if its fencing number is older than the last one and the engine checks it.
+    pub(crate) fn accept_order(&self, fencing_number: u64, load: Load) -> bool {
         let mut inner = self.lock();
-        if fence < inner.fence && !inner.faults.ignore_fencing {
+        if fencing_number < inner.fencing_number && !inner.faults.ignore_fencing {
             return false;
         }
-        inner.fence = fence;
+        inner.fencing_number = fencing_number;
         inner.loaded = Some(load);
         true
     }
 
-    fn renew_report(&self) {
+    fn refresh_report(&self) {
         let mut inner = self.lock();
         let running = inner.held.keys().map(|id| RunningRequest { request_id: id.clone() }).collect();
         let kv_bytes = inner.held.values().map(Held::bytes).sum();
@@ -302,17 +306,17 @@
             role: self.options.role,
             slots: self.options.slots,
             running,
-            waiting: self.gate.waiting(),
+            waiting: self.prefill_permits.waiting(),
             kv_bytes,
             leaving: inner.faults.leaving,
             loaded: inner.loaded.clone(),
-            fence: inner.fence,
+            fence: inner.fencing_number,
         };
     }
 }
 
 impl Inner {
-    fn log(&mut self, block: u64, stored: bool) {
+    fn record_event(&mut self, block: u64, stored: bool) {
         self.sequence += 1;
         let lost = self.faults.gaps && self.sequence.is_multiple_of(2);
         if !lost {
@@ -330,33 +334,34 @@
     }
 }
 
-/// Renews the load report at its lag, and drops finished streams that nobody reads.
-pub(crate) async fn sample(state: Arc<State>) {
-    let mut idle: BTreeMap<String, Instant> = BTreeMap::new();
+/// Refreshes the load report every report interval, and releases streams that have been finished for
+/// [`FINISHED_STREAM_TTL`] and were not read to the end.
+pub(crate) async fn maintain(state: Arc<State>) {
+    let mut finished_since: BTreeMap<String, Instant> = BTreeMap::new();
     loop {
         tokio::time::sleep(state.options.report_interval).await;
         if !state.faults().lag {
-            state.renew_report();
+            state.refresh_report();
         }
-        let done = state.finished();
-        idle.retain(|id, _| done.contains(id));
-        for id in done {
-            let since = *idle.entry(id.clone()).or_insert_with(Instant::now);
-            if since.elapsed() > LINGER {
-                state.drop_held(&id);
+        let finished = state.finished_streams();
+        finished_since.retain(|id, _| finished.contains(id));
+        for id in finished {
+            let since = *finished_since.entry(id.clone()).or_insert_with(Instant::now);
+            if since.elapsed() > FINISHED_STREAM_TTL {
+                state.release(&id);
             }
         }
     }
 }
 
 impl State {
-    fn finished(&self) -> Vec<String> {
+    fn finished_streams(&self) -> Vec<String> {
         let inner = self.lock();
-        let done = inner.held.iter().filter(|(_, held)| match held {
-            Held::Stream(stream) => *stream.made.borrow() >= stream.length,
+        let finished = inner.held.iter().filter(|(_, held)| match held {
+            Held::Stream(stream) => *stream.generated.borrow() >= stream.length,
             Held::Prefilling | Held::Cache(_) | Held::Imported(_) => false,
         });
-        done.map(|(id, _)| id.clone()).collect()
+        finished.map(|(id, _)| id.clone()).collect()
     }
 
     pub(crate) fn is_decode(&self) -> bool {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small stand-ins for what the system meets: engines, plain services, the platform, and a network between.
+//! Small stand-ins for what the system talks to: engines, plain services, the platform, and a network between
+//! two processes.
 //!
-//! They follow the published protocols of docs/ENGINE.md and docs/PLATFORM.md and no more, for tests, the
-//! quickstart and experiments. They run inside a test process or as processes of their own, and do faults on
-//! command. What an engine generates is a function of prompt and offset ([`generated_token`]), so that whoever looks
-//! can tell whether a caller got exactly its own whole answer.
+//! The stand-ins implement the published protocols of docs/ENGINE.md and docs/PLATFORM.md and nothing beyond
+//! them. Tests, the quickstart and experiments use them, inside a test process or as processes of their own.
+//! Stand-ins inject faults on command. The text that an engine generates is a function of prompt and offset
+//! ([`generated_token`]), so that a test can check that a caller got exactly its own complete response.
 
 mod content;
 mod engine;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `teaselshunt-standin`: stand-ins as processes, and a caller that checks what it gets.
+//! `teaselshunt-standin`: stand-ins as processes, and a caller that checks the responses that it gets.
 
 mod commands;
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the platform: numbered configurations and the list of instances, to be read and watched.
+//! A stand-in for the platform: numbered configurations and the list of instances, to read and to watch.
 //!
-//! Operators' patches are accepted here against a base version; the system itself never writes.
+//! The platform accepts operators' patches against a base version. The system itself never writes to it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +15,7 @@
 use teaselshunt_wire::platform::{CONFIGURATION_PATH, INSTANCES_PATH, Patch, PatchResponse};
 use tokio::sync::watch;
 
-use crate::server::Running;
+use crate::server::ServerHandle;
 
 #[derive(Debug, Clone)]
 struct Document {
@@ -28,16 +28,16 @@
     configuration: watch::Sender<Document>,
     instances: watch::Sender<Document>,
     outage: watch::Sender<bool>,
-    /// What a replica that lags answers, while it does.
-    stale: Mutex<Option<Document>>,
+    /// The configuration that reads return while a lagging replica is simulated.
+    stale_configuration: Mutex<Option<Document>>,
     calls: Mutex<u64>,
 }
 
-/// A running stand-in.
+/// A running stand-in platform.
 #[derive(Debug)]
 pub struct Platform {
     state: Arc<State>,
-    running: Running,
+    server: ServerHandle,
 }
 
 impl Platform {
@@ -53,24 +53,24 @@
             }),
             instances: watch::Sender::new(Document { number: 0, text: String::new() }),
             outage: watch::Sender::new(false),
-            stale: Mutex::new(None),
+            stale_configuration: Mutex::new(None),
             calls: Mutex::new(0),
         });
         let route = Route::new()
-            .at(CONFIGURATION_PATH, get(read_configuration).post(take_patch))
-            .at(INSTANCES_PATH, get(read_instances).post(post_instances))
+            .at(CONFIGURATION_PATH, get(read_configuration).post(accept_patch))
+            .at(INSTANCES_PATH, get(read_instances).post(replace_instances))
             .at("/outage", poem::post(set_outage))
             .data(Arc::clone(&state));
-        let running = Running::start(address, route).await?;
-        Ok(Self { state, running })
+        let server = ServerHandle::start(address, route).await?;
+        Ok(Self { state, server })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
-        self.running.address
+        self.server.address
     }
 
-    /// Publishes a configuration, checked or not, whatever its number.
+    /// Publishes a configuration without validating it, whatever its version.
     pub fn publish(&self, text: &str) {
         self.state.configuration.send_replace(Document { number: version(text), text: text.to_owned() });
     }
@@ -80,20 +80,21 @@
         self.state.instances.send_replace(Document { number: revision, text: text.to_owned() });
     }
 
-    /// Answers nothing while `down`.
+    /// Starts or ends an outage. Watches that wait when it starts get 503. Calls during the outage get no
+    /// response until it ends, and then 503.
     pub fn set_outage(&self, down: bool) {
         self.state.outage.send_replace(down);
     }
 
-    /// Answers reads of the configuration with this text, as a replica that lags would.
+    /// Returns this text for reads of the configuration, as a lagging replica would.
     pub fn set_stale_configuration(&self, text: Option<&str>) {
         let document = text.map(|t| Document { number: version(t), text: t.to_owned() });
-        *lock(&self.state.stale) = document;
-        // Waiting watches end, and are answered anew.
+        *lock(&self.state.stale_configuration) = document;
+        // Waiting watches check the configuration again.
         self.state.configuration.send_modify(|_| {});
     }
 
-    /// Calls so far, a waiting watch counted as one.
+    /// Number of calls so far; a waiting watch counts as one.
     pub fn calls(&self) -> u64 {
         *lock(&self.state.calls)
     }
@@ -109,21 +110,21 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Watch {
+struct WatchQuery {
     #[serde(default)]
     after: u64,
     #[serde(default)]
     wait_ms: u64,
 }
 
-/// Answers with the document once its number is higher, or with 204 when the wait is over.
-async fn answer(state: &State, source: &watch::Sender<Document>, query: &Watch) -> Response {
+/// Responds with the document once its number is higher than the query's, or with 204 when the wait is over.
+async fn respond(state: &State, source: &watch::Sender<Document>, query: &WatchQuery) -> Response {
     *lock(&state.calls) += 1;
     if *state.outage.borrow() {
-        // An outage is silence, not an error.
+        // During an outage the platform sends nothing, not even an error.
         let mut outage = state.outage.subscribe();
-        let over = outage.wait_for(|down| !down).await.is_ok();
-        return if over {
+        let ended = outage.wait_for(|down| !down).await.is_ok();
+        return if ended {
             StatusCode::SERVICE_UNAVAILABLE.into_response()
         } else {
             StatusCode::GONE.into_response()
@@ -143,22 +144,22 @@
 }
 
 #[handler]
-async fn read_configuration(Data(state): Data<&Arc<State>>, Query(query): Query<Watch>) -> Response {
-    let lagging = lock(&state.stale).clone();
+async fn read_configuration(Data(state): Data<&Arc<State>>, Query(query): Query<WatchQuery>) -> Response {
+    let lagging = lock(&state.stale_configuration).clone();
     if let Some(document) = lagging {
         *lock(&state.calls) += 1;
         return document.text.into_response();
     }
-    answer(state, &state.configuration, &query).await
+    respond(state, &state.configuration, &query).await
 }
 
 #[handler]
-async fn read_instances(Data(state): Data<&Arc<State>>, Query(query): Query<Watch>) -> Response {
-    answer(state, &state.instances, &query).await
+async fn read_instances(Data(state): Data<&Arc<State>>, Query(query): Query<WatchQuery>) -> Response {
+    respond(state, &state.instances, &query).await
 }
 
 #[handler]
-fn post_instances(Data(state): Data<&Arc<State>>, Json(list): Json<Value>) -> Response {
+fn replace_instances(Data(state): Data<&Arc<State>>, Json(list): Json<Value>) -> Response {
     let number = list["revision"].as_u64().unwrap_or(0);
     state.instances.send_replace(Document { number, text: list.to_string() });
     StatusCode::OK.into_response()
@@ -169,14 +170,14 @@
     state.outage.send_replace(down);
 }
 
-/// An operator's patch: taken only against the version published now, and only if the result checks.
+/// Accepts an operator's patch only against the published version, and only if its result is valid.
 #[handler]
-fn take_patch(Data(state): Data<&Arc<State>>, Json(patch): Json<Patch>) -> Response {
+fn accept_patch(Data(state): Data<&Arc<State>>, Json(patch): Json<Patch>) -> Response {
     let mut outcome = Err(String::new());
     let mut version = 0;
     state.configuration.send_if_modified(|document| {
         version = document.number;
-        outcome = patched(document, &patch);
+        outcome = apply_patch(document, &patch);
         let Ok(next) = &outcome else {
             return false;
         };
@@ -192,7 +193,7 @@
     }
 }
 
-fn patched(document: &Document, patch: &Patch) -> Result<Document, String> {
+fn apply_patch(document: &Document, patch: &Patch) -> Result<Document, String> {
     if patch.base != document.number {
         return Err(format!(
             "the patch is against version {}, but {} is published",
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,4 +1,5 @@
-//! A piece of network between two processes that can be cut, or go silent for connections that are open.
+//! A TCP relay between two processes. It simulates network partitions, and black-holes open connections:
+//! their bytes are lost, and neither end is notified.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,13 +9,13 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What the relay does.
+/// How the relay treats connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct Mode {
-    /// Connections numbered up to this one have been lost track of: nothing passes, and nobody is told.
-    silent: u64,
-    /// New connections are refused and open ones are silent.
-    cut: bool,
+    /// Connections with numbers up to this one are black-holed.
+    blackholed_up_to: u64,
+    /// New connections are closed at once, and open ones are black-holed.
+    partitioned: bool,
 }
 
 /// A TCP relay to one address.
@@ -40,28 +41,28 @@
         Ok(Self { address, mode, opened, task })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     pub fn connections_opened(&self) -> u64 {
         *self.opened.borrow()
     }
 
-    /// Loses track of every connection that is open now; new ones work.
+    /// Black-holes every connection that is open now; new connections work.
     pub fn blackhole_open_connections(&self) {
         let opened = self.connections_opened();
-        self.mode.send_modify(|m| m.silent = opened);
+        self.mode.send_modify(|m| m.blackholed_up_to = opened);
     }
 
-    /// Cuts or heals the way. Open connections stay lost after a heal.
-    pub fn set_partitioned(&self, cut: bool) {
+    /// Starts or heals a network partition. Connections that were open stay black-holed after it heals.
+    pub fn set_partitioned(&self, partitioned: bool) {
         let opened = self.connections_opened();
         self.mode.send_modify(|m| {
-            m.cut = cut;
-            m.silent = opened;
+            m.partitioned = partitioned;
+            m.blackholed_up_to = opened;
         });
     }
 }
@@ -79,29 +80,30 @@
     opened: Arc<watch::Sender<u64>>,
 ) {
     let mut connections = tokio::task::JoinSet::new();
-    while let Ok((near, _)) = listener.accept().await {
-        if mode.borrow().cut {
+    while let Ok((client, _)) = listener.accept().await {
+        if mode.borrow().partitioned {
             continue;
         }
         opened.send_modify(|n| *n += 1);
         let number = *opened.borrow();
         let mode = mode.subscribe();
         connections.spawn(async move {
-            let Ok(far) = TcpStream::connect(target).await else {
+            let Ok(upstream) = TcpStream::connect(target).await else {
                 return;
             };
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
+            let (client_read, client_write) = client.into_split();
+            let (upstream_read, upstream_write) = upstream.into_split();
             tokio::join!(
-                pass(near_read, far_write, number, mode.clone()),
-                pass(far_read, near_write, number, mode)
+                forward(client_read, upstream_write, number, mode.clone()),
+                forward(upstream_read, client_write, number, mode)
             );
         });
     }
 }
 
-/// Passes bytes on until an end closes. Once silent, it takes nothing more and closes nothing.
-async fn pass<R, W>(mut from: R, mut to: W, number: u64, mut mode: watch::Receiver<Mode>)
+/// Forwards bytes until one end closes. Once its connection is black-holed, it forwards nothing more and
+/// closes neither end.
+async fn forward<R, W>(mut from: R, mut to: W, number: u64, mut mode: watch::Receiver<Mode>)
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin,
@@ -110,13 +112,13 @@
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            () = lost(&mut mode, number) => std::future::pending().await,
+            () = wait_until_blackholed(&mut mode, number) => std::future::pending().await,
         };
         let Ok(length @ 1..) = read else {
             break;
         };
-        let late = mode.borrow().silent >= number;
-        if late {
+        let blackholed = mode.borrow().blackholed_up_to >= number;
+        if blackholed {
             std::future::pending::<()>().await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
@@ -126,10 +128,10 @@
     let _ = to.shutdown().await;
 }
 
-/// Waits until the connection has been lost track of.
-async fn lost(mode: &mut watch::Receiver<Mode>, number: u64) {
-    let ended = mode.wait_for(|m| m.silent >= number).await.is_err();
-    if ended {
+/// Waits until the connection is black-holed.
+async fn wait_until_blackholed(mode: &mut watch::Receiver<Mode>, number: u64) {
+    let relay_dropped = mode.wait_for(|m| m.blackholed_up_to >= number).await.is_err();
+    if relay_dropped {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! Serving a route on a loopback port inside this process.
+//! Serves a route on a loopback port inside this process.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 use poem::{IntoEndpoint, Response, Server};
 use tokio::task::JoinHandle;
 
-/// A server that ends with its value.
+/// A running server; it stops when dropped.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct ServerHandle {
     pub(crate) address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Running {
+impl ServerHandle {
     /// Listens on `address`, port 0 for any, and serves until dropped.
     pub(crate) async fn start<E>(address: SocketAddr, route: E) -> std::io::Result<Self>
     where
@@ -23,24 +23,25 @@
     {
         let acceptor = TcpListener::bind(address).into_acceptor().await?;
         let address = acceptor.local_addr().first().and_then(|a| a.as_socket_addr().copied());
-        let address = address.ok_or_else(|| std::io::Error::other("a TCP listener has an address"))?;
+        let address =
+            address.ok_or_else(|| std::io::Error::other("the TCP listener has no socket address"))?;
         let task = tokio::spawn(async move {
-            // An accept error ends a stand-in, and the test that uses it will say so.
+            // An accept error ends the stand-in, and the test that uses the stand-in fails.
             let _ = Server::new_with_acceptor(acceptor).run(route).await;
         });
         Ok(Self { address, task })
     }
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// An answer whose connection breaks in the middle: it promises more bytes than it has.
+/// A response whose connection breaks in the middle: its `Content-Length` exceeds its body.
 ///
-/// An error of a streamed body would not do: the HTTP library ends such a body as if it were whole.
-pub(crate) fn broken() -> Response {
+/// An error in a streamed body has no such effect: the HTTP library ends that body as if it were complete.
+pub(crate) fn truncated_response() -> Response {
     Response::builder().header(header::CONTENT_LENGTH, "1000").body("{")
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service: it books, and remembers every booking.
+//! A stand-in for a plain service, which numbers the calls that it runs and records each of them.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,17 +8,17 @@
 use poem::{EndpointExt, IntoResponse, Request, Response, Route, handler};
 use serde::{Deserialize, Serialize};
 
-use crate::server::Running;
+use crate::server::ServerHandle;
 
-/// What is wrong with a stand-in.
+/// Faults of a stand-in service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceFaults {
-    /// Calls run, then the answer never comes.
+    /// Calls run, but get no response.
     pub hang: bool,
     /// Calls run, then the connection breaks.
     pub drop: bool,
-    /// Calls take this long, in milliseconds.
+    /// Time that a call takes, in milliseconds.
     pub slow_ms: u64,
 }
 
@@ -31,10 +31,10 @@
     pub path: String,
     /// Body.
     pub body: String,
-    /// The caller's team, as it was told.
+    /// The caller's team, from the header `openai-organization`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// A key that was passed on.
+    /// An `Authorization` header that was forwarded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
@@ -42,21 +42,21 @@
 #[derive(Debug, Default)]
 struct State {
     faults: Mutex<ServiceFaults>,
-    ran: Mutex<Vec<Execution>>,
+    executions: Mutex<Vec<Execution>>,
 }
 
-/// The answer to a call.
+/// The response to a call.
 #[derive(Debug, Serialize)]
-struct Booked {
+struct Booking {
     number: usize,
     call: Execution,
 }
 
-/// A running stand-in.
+/// A running stand-in service.
 #[derive(Debug)]
 pub struct Service {
     state: Arc<State>,
-    running: Running,
+    server: ServerHandle,
 }
 
 impl Service {
@@ -67,23 +67,23 @@
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let state = Arc::new(State::default());
         let route = Route::new().at("/faults", poem::post(set_faults)).at("/*path", call);
-        let running = Running::start(address, route.data(Arc::clone(&state))).await?;
-        Ok(Self { state, running })
+        let server = ServerHandle::start(address, route.data(Arc::clone(&state))).await?;
+        Ok(Self { state, server })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
-        self.running.address
+        self.server.address
     }
 
-    /// Sets what is wrong from now on.
+    /// Replaces its faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         *lock(&self.state.faults) = faults;
     }
 
     /// Every call that ran, in order.
     pub fn executions(&self) -> Vec<Execution> {
-        lock(&self.state.ran).clone()
+        lock(&self.state.executions).clone()
     }
 }
 
@@ -94,20 +94,20 @@
 #[handler]
 async fn call(Data(state): Data<&Arc<State>>, request: &Request, body: String) -> Response {
     let faults = lock(&state.faults).clone();
-    let said = |name: &str| request.header(name).map(str::to_owned);
+    let header = |name: &str| request.header(name).map(str::to_owned);
     let call = Execution {
         method: request.method().to_string(),
         path: request.uri().to_string(),
         body,
-        team: said("openai-organization"),
-        key: said("authorization"),
+        team: header("openai-organization"),
+        key: header("authorization"),
     };
-    // In a task of its own: a service does not notice that a client is gone.
-    let (kept, ran) = (Arc::clone(state), call.clone());
+    // The call runs in a task of its own, since a service does not notice that its client has disconnected.
+    let (shared, execution) = (Arc::clone(state), call.clone());
     let work = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
-        let mut all = lock(&kept.ran);
-        all.push(ran);
+        let mut all = lock(&shared.executions);
+        all.push(execution);
         all.len()
     });
     let Ok(number) = work.await else {
@@ -117,9 +117,9 @@
         std::future::pending::<()>().await;
     }
     if faults.drop {
-        return crate::server::broken();
+        return crate::server::truncated_response();
     }
-    Json(Booked { number, call }).into_response()
+    Json(Booking { number, call }).into_response()
 }
 
 #[handler]
--- a/crates/standin/src/site/caller.rs
+++ b/crates/standin/src/site/caller.rs
@@ -1,9 +1,9 @@
-//! What a caller of the users' platform sends, and what it looks for in an answer.
+//! The requests that callers on the users' platform send, and their check of a response.
 
 use reqwest::header::HeaderMap;
 use reqwest::{Client, RequestBuilder};
 
-/// A request with an id, to `path` of the instance at `address`; its caller waits for `deadline_ms`.
+/// A request with an id to `path` of the instance at `address`, whose caller waits for `deadline_ms`.
 pub fn site_request(
     client: &Client,
     address: &str,
@@ -16,7 +16,7 @@
     request.header("token-count", "100,10").body("question")
 }
 
-/// Whether an answer bears its endpoint's signature.
+/// Whether a response has its endpoint's signature.
 pub fn is_signed(headers: &HeaderMap) -> bool {
     headers.contains_key("server-seal")
 }
--- a/crates/standin/src/site/endpoint.rs
+++ b/crates/standin/src/site/endpoint.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the users' endpoints: a plain service, or an engine that prefills or decodes.
+//! A stand-in for the users' endpoints: a plain service, or an engine that prefills or decodes.
 //!
-//! It keeps a ledger of what it ran, by the callers' ids, and does faults on command.
+//! The stand-in records each request that it ran with the caller's request id, and injects faults on command.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::http::{Asked, answer, chunk, head, read};
+use super::http::{Request, read_request, response_head, write_chunk, write_response};
 
-/// Body of a request that crashes every endpoint that begins to run it. Reading its prompt does no harm.
+/// Body of a request that crashes every endpoint that starts to run it. A prefill of its prompt crashes no engine.
 pub const CRASHING_BODY: &str = "crash";
 
-/// What a stand-in endpoint is.
+/// Properties of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct SiteOptions {
-    /// Id of this start.
+    /// Id of this incarnation.
     pub id: String,
     /// Its service.
     pub service: String,
@@ -29,76 +29,76 @@
     pub domain: String,
     /// `prefill` or `decode` for an engine.
     pub stage: Option<&'static str>,
-    /// Time of a request, a prefill, or until the first event.
+    /// Duration of a request or a prefill, or time until the first event of a stream.
     pub work_time: Duration,
-    /// Events of a stream.
+    /// Number of events of a stream; 0 for a plain service.
     pub event_count: u32,
     /// Time between events.
     pub event_gap: Duration,
-    /// Tokens that may be reserved at a time.
+    /// Largest reservation that it grants, in tokens. Reservations that are open are not added up.
     pub reservable_tokens: u64,
 }
 
-/// What an endpoint does wrong, until changed.
+/// A fault of an endpoint, until it is changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SiteFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Refuses requests, and says that it has not run them.
+    /// Refuses requests with 503 and `Not-Executed`.
     Refuse,
-    /// Takes requests and never answers.
+    /// Accepts requests and never responds.
     Hang,
-    /// Runs requests and closes the connection without an answer.
+    /// Runs requests and closes the connection without a response.
     Lose,
-    /// Answers every request a second time, after the first answer.
+    /// Sends the response of a plain request a second time, after the first.
     Extra,
-    /// Answers with its own failure.
+    /// Responds with status 500.
     Fail,
-    /// Breaks streams off after so many events, in the middle of the next.
+    /// Breaks streams off after this many events, in the middle of the next one.
     Cut(u32),
-    /// Answers without a length, ending with the connection.
+    /// Sends responses without a length, which end with the connection.
     Unframed,
-    /// Adds so many bytes to each answer, and to each event of a stream.
+    /// Adds this many bytes to each response, and to each event of a stream.
     Large(usize),
 }
 
-/// Something that an endpoint ran.
+/// A request that an endpoint ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SiteExecution {
-    /// The caller's id.
+    /// The caller's request id.
     pub request_id: String,
-    /// Whether only the prompt was read.
+    /// Whether it was a prefill only.
     pub prefill: bool,
-    /// The event after which a stream went on.
+    /// The event after which a stream was resumed.
     pub resume_after: Option<u32>,
-    /// The caller's team, as it was told.
+    /// The caller's team, from the header `tenant`.
     pub team: Option<String>,
-    /// A key that was passed on.
+    /// An `Authorization` header that was forwarded.
     pub authorization: Option<String>,
-    /// When it began.
+    /// When it started to run.
     pub started_at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    runs: Vec<SiteExecution>,
-    /// Requests being worked on.
-    working: u32,
+    executions: Vec<SiteExecution>,
+    /// Requests that are running.
+    active_requests: u32,
     holds: HashSet<String>,
     handles: HashSet<String>,
     reserved: u64,
-    next: u64,
+    next_id: u64,
     orders: Vec<Value>,
     fault: SiteFault,
-    left: bool,
-    /// The `Server-Limit` of its answers.
-    limit: Option<String>,
-    /// Requests that reached it, run or not, and when.
+    address_released: bool,
+    /// The `Server-Limit` of its responses.
+    advertised_limit: Option<String>,
+    /// When each request arrived, whether it ran or not.
     arrivals: Vec<Instant>,
 }
 
-/// An endpoint, served until dropped.
+/// A running endpoint; it stops when dropped.
 #[derive(Debug)]
 pub struct SiteEndpoint {
     options: SiteOptions,
@@ -109,7 +109,7 @@
 }
 
 impl SiteEndpoint {
-    /// Starts on a loopback port.
+    /// Starts an endpoint on a loopback port.
     ///
     /// # Errors
     /// No port can be listened on.
@@ -123,17 +123,17 @@
         Ok(Self { options, address, inner, task, crashed })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a request has crashed it; it listens no more then.
+    /// Whether a request has crashed it. A crashed endpoint no longer listens.
     pub fn has_crashed(&self) -> bool {
         *self.crashed.borrow()
     }
 
-    /// Becomes true when a request crashes it.
+    /// Turns to `true` when a request crashes it.
     pub fn crash_signal(&self) -> watch::Receiver<bool> {
         self.crashed.clone()
     }
@@ -148,52 +148,53 @@
         self.options.stage
     }
 
-    /// Its entry in the store, reached at `address`.
+    /// Its entry in the store, with `address` as its address.
     pub fn entry(&self, address: SocketAddr, state: &str) -> Value {
         let SiteOptions { service, domain, stage, .. } = &self.options;
         json!({ "service": service, "address": address, "zone": domain, "version": "v1", "slots": 8,
             "state": state, "cold_left_ms": 0, "stage": stage, "sequence": 1 })
     }
 
-    /// Everything that it ran.
+    /// Every request that it ran.
     pub fn executions(&self) -> Vec<SiteExecution> {
-        self.lock().runs.clone()
+        self.lock().executions.clone()
     }
 
-    /// Requests that it works on now.
+    /// Number of requests that are running.
     pub fn active_requests(&self) -> u32 {
-        self.lock().working
+        self.lock().active_requests
     }
 
-    /// Reservations and KV caches that nobody has taken or given back.
+    /// Number of reservations and KV caches that were neither used nor released.
     pub fn unreleased(&self) -> usize {
         let inner = self.lock();
         inner.holds.len() + inner.handles.len()
     }
 
-    /// Orders that it was given.
+    /// Every order that it received.
     pub fn orders(&self) -> Vec<Value> {
         self.lock().orders.clone()
     }
 
-    /// Changes its fault.
+    /// Replaces its fault.
     pub fn set_fault(&self, fault: SiteFault) {
         self.lock().fault = fault;
     }
 
-    /// From now on its answers name a limit in `Server-Limit`, or none; any text, since tests send ones that are no numbers.
+    /// Sets the `Server-Limit` of its responses, or removes the header. The limit is a text, since tests send some that
+    /// are not numbers.
     pub fn advertise_limit(&self, limit: Option<&str>) {
-        self.lock().limit = limit.map(str::to_owned);
+        self.lock().advertised_limit = limit.map(str::to_owned);
     }
 
-    /// When requests reached it, whether it ran them or not.
+    /// When each request arrived, whether it ran or not.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.lock().arrivals.clone()
     }
 
-    /// From now on another endpoint has the address.
+    /// Simulates that another endpoint now has its address: it refuses all further requests as misdirected.
     pub fn release_address(&self) {
-        self.lock().left = true;
+        self.lock().address_released = true;
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -214,16 +215,16 @@
     crash: watch::Sender<bool>,
 }
 
-/// Counts a request as worked on; dropped when its connection ends as well.
-struct Working<'a>(&'a Shared);
+/// Counts a request as running until dropped. The end of its connection drops it as well.
+struct ActiveRequest<'a>(&'a Shared);
 
-impl Drop for Working<'_> {
+impl Drop for ActiveRequest<'_> {
     fn drop(&mut self) {
-        self.0.lock().working -= 1;
+        self.0.lock().active_requests -= 1;
     }
 }
 
-/// Serves until it crashes, which ends the listener and all connections.
+/// Serves connections until the endpoint crashes, which closes the listener and all connections.
 async fn accept(listener: TcpListener, shared: Arc<Shared>, mut crashed: watch::Receiver<bool>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -245,49 +246,51 @@
 
     async fn serve(&self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
-        while let Some(asked) = read(&mut stream, &mut buffer).await {
-            // Work whose caller has closed ends at its next write, or with the connection.
-            let goes_on = self.handle(&mut stream, &asked).await;
-            if !goes_on {
+        while let Some(request) = read_request(&mut stream, &mut buffer).await {
+            // Work for a client that has disconnected ends at its next write, or with the connection.
+            let keep_open = self.handle_request(&mut stream, &request).await;
+            if !keep_open {
                 return;
             }
         }
     }
 
-    /// Handles a request; says whether the connection goes on.
-    async fn handle(&self, stream: &mut TcpStream, asked: &Asked) -> bool {
-        let path = asked.path.as_str();
-        if asked.header("expect-instance").is_some_and(|id| id != self.options.id) || self.lock().left {
-            answer(stream, 421, &[("not-executed", "1")], "").await;
+    /// Handles a request, and returns whether the connection stays open.
+    async fn handle_request(&self, stream: &mut TcpStream, request: &Request) -> bool {
+        let path = request.path.as_str();
+        if request.header("expect-instance").is_some_and(|id| id != self.options.id)
+            || self.lock().address_released
+        {
+            write_response(stream, 421, &[("not-executed", "1")], "").await;
             return true;
         }
-        if let Some(answered) = self.control(asked, path) {
-            let (status, body) = answered;
+        if let Some(response) = self.handle_control(request, path) {
+            let (status, body) = response;
             let headers = self.with_limit(&[("content-type", "application/json")]);
-            answer(stream, status, &borrowed(&headers), &body.to_string()).await;
+            write_response(stream, status, &as_strs(&headers), &body.to_string()).await;
             return true;
         }
-        self.run(stream, asked).await
+        self.run_request(stream, request).await
     }
 
-    /// Headers of an answer, and the limit if it names one.
+    /// Headers of a response, with the limit if it advertises one.
     fn with_limit(&self, headers: &[(&'static str, &str)]) -> Vec<(&'static str, String)> {
-        let own = headers.iter().map(|&(name, value)| (name, value.to_owned()));
-        let limit = self.lock().limit.clone();
-        own.chain(limit.map(|limit| ("server-limit", limit))).collect()
+        let owned = headers.iter().map(|&(name, value)| (name, value.to_owned()));
+        let limit = self.lock().advertised_limit.clone();
+        owned.chain(limit.map(|limit| ("server-limit", limit))).collect()
     }
 
-    /// Calls beside requests: reservations, handles, orders.
-    fn control(&self, asked: &Asked, path: &str) -> Option<(u16, Value)> {
+    /// Responds to calls of the protocol that run no request: for reservations, handles of KV caches and orders.
+    fn handle_control(&self, request: &Request, path: &str) -> Option<(u16, Value)> {
         let mut inner = self.lock();
         if path == "/-/hold-take" {
-            let body: Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+            let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
             let tokens = body["tokens"].as_u64().unwrap_or(0);
             if inner.reserved + tokens > self.options.reservable_tokens {
                 return Some((503, json!({})));
             }
-            inner.next += 1;
-            let hold = format!("hold-{}", inner.next);
+            inner.next_id += 1;
+            let hold = format!("hold-{}", inner.next_id);
             inner.holds.insert(hold.clone());
             return Some((200, json!({ "hold": hold })));
         }
@@ -300,16 +303,17 @@
             return Some((200, json!({})));
         }
         if path == "/-/order" {
-            inner.orders.push(serde_json::from_slice(&asked.body).unwrap_or_default());
+            inner.orders.push(serde_json::from_slice(&request.body).unwrap_or_default());
             return Some((202, json!({})));
         }
         None
     }
 
-    async fn run(&self, stream: &mut TcpStream, asked: &Asked) -> bool {
-        let id = asked.header("request-id").unwrap_or_default().to_owned();
-        let prefill = asked.header("stage") == Some("prefill");
-        let after = asked.header("last-event-id").and_then(|v| v.parse().ok());
+    /// Runs a request with its faults, and returns whether the connection stays open.
+    async fn run_request(&self, stream: &mut TcpStream, request: &Request) -> bool {
+        let id = request.header("request-id").unwrap_or_default().to_owned();
+        let prefill = request.header("stage") == Some("prefill");
+        let after = request.header("last-event-id").and_then(|v| v.parse().ok());
         let fault = {
             let mut inner = self.lock();
             inner.arrivals.push(Instant::now());
@@ -317,34 +321,34 @@
         };
         if fault == SiteFault::Refuse {
             let headers = self.with_limit(&[("not-executed", "1"), ("request-id", &id)]);
-            answer(stream, 503, &borrowed(&headers), "").await;
+            write_response(stream, 503, &as_strs(&headers), "").await;
             return true;
         }
-        let _working = {
+        let _active = {
             let mut inner = self.lock();
-            if let Some(hold) = asked.header("kv-hold") {
+            if let Some(hold) = request.header("kv-hold") {
                 inner.holds.remove(hold);
             }
-            let (team, key) = (asked.header("tenant"), asked.header("authorization"));
-            inner.runs.push(SiteExecution {
+            let (team, authorization) = (request.header("tenant"), request.header("authorization"));
+            inner.executions.push(SiteExecution {
                 request_id: id.clone(),
                 prefill,
                 resume_after: after,
                 team: team.map(str::to_owned),
-                authorization: key.map(str::to_owned),
+                authorization: authorization.map(str::to_owned),
                 started_at: Instant::now(),
             });
-            inner.working += 1;
-            Working(self)
+            inner.active_requests += 1;
+            ActiveRequest(self)
         };
         if fault == SiteFault::Hang {
-            // Until the other side closes.
+            // Until the client closes the connection.
             let mut buffer = Vec::new();
-            let _ = read(stream, &mut buffer).await;
+            let _ = read_request(stream, &mut buffer).await;
             return false;
         }
         tokio::time::sleep(self.options.work_time).await;
-        let crashes = !prefill && asked.body == CRASHING_BODY.as_bytes();
+        let crashes = !prefill && request.body == CRASHING_BODY.as_bytes();
         if crashes && self.options.event_count == 0 {
             self.crash.send_replace(true);
             return false;
@@ -354,46 +358,47 @@
         }
         let seal = format!("seal-{}", self.options.id);
         let headers = self.with_limit(&[("request-id", id.as_str()), ("server-seal", seal.as_str())]);
-        let headers = borrowed(&headers);
+        let headers = as_strs(&headers);
         if prefill {
             let handle = {
                 let mut inner = self.lock();
-                inner.next += 1;
-                let handle = format!("handle-{}", inner.next);
+                inner.next_id += 1;
+                let handle = format!("handle-{}", inner.next_id);
                 inner.handles.insert(handle.clone());
                 handle
             };
             let body = json!({ "handle": handle, "tokens": 1, "version": 1 }).to_string();
-            answer(stream, 200, &headers, &body).await;
+            write_response(stream, 200, &headers, &body).await;
             return true;
         }
         if fault == SiteFault::Fail {
-            answer(stream, 500, &headers, "failed").await;
+            write_response(stream, 500, &headers, "failed").await;
             return true;
         }
         if self.options.event_count > 0 {
             let fault = if crashes { SiteFault::Cut(0) } else { fault };
-            let goes_on = self.events(stream, &headers, &id, after.unwrap_or(0), fault).await;
+            let keep_open = self.write_events(stream, &headers, &id, after.unwrap_or(0), fault).await;
             if crashes {
                 self.crash.send_replace(true);
             }
-            return goes_on;
+            return keep_open;
         }
         let padding = if let SiteFault::Large(bytes) = fault { ".".repeat(bytes) } else { String::new() };
         let body = format!("answer to {id}{padding}");
         if fault == SiteFault::Unframed {
-            let text = format!("{}\r\n{body}", head(200, &headers));
+            let text = format!("{}\r\n{body}", response_head(200, &headers));
             let _ = stream.write_all(text.as_bytes()).await;
             return false;
         }
-        answer(stream, 200, &headers, &body).await;
+        write_response(stream, 200, &headers, &body).await;
         if fault == SiteFault::Extra {
-            answer(stream, 200, &headers, &body).await;
+            write_response(stream, 200, &headers, &body).await;
         }
         true
     }
 
-    async fn events(
+    /// Writes the events of a stream, and returns whether the connection stays open.
+    async fn write_events(
         &self,
         stream: &mut TcpStream,
         headers: &[(&str, &str)],
@@ -401,34 +406,34 @@
         after: u32,
         fault: SiteFault,
     ) -> bool {
-        let mut text = head(200, headers);
+        let mut text = response_head(200, headers);
         text.push_str("content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n");
         if stream.write_all(text.as_bytes()).await.is_err() {
             return false;
         }
         for number in after + 1..=self.options.event_count {
             if matches!(fault, SiteFault::Cut(cut) if number > cut) {
-                chunk(stream, &format!("id: {number}\nda")).await;
+                write_chunk(stream, &format!("id: {number}\nda")).await;
                 return false;
             }
             let padding = match fault {
                 SiteFault::Large(bytes) => format!(": {}\n", ".".repeat(bytes)),
                 _ => String::new(),
             };
-            if !chunk(stream, &format!("{padding}{}", event_text(id, number))).await {
+            if !write_chunk(stream, &format!("{padding}{}", event_text(id, number))).await {
                 return false;
             }
             tokio::time::sleep(self.options.event_gap).await;
         }
-        chunk(stream, "").await
+        write_chunk(stream, "").await
     }
 }
 
-fn borrowed<'a>(headers: &'a [(&'static str, String)]) -> Vec<(&'static str, &'a str)> {
+fn as_strs<'a>(headers: &'a [(&'static str, String)]) -> Vec<(&'static str, &'a str)> {
     headers.iter().map(|(name, value)| (*name, value.as_str())).collect()
 }
 
-/// The text of an event, a function of request and number, so that a caller can check that it got its own.
-pub fn event_text(request: &str, number: u32) -> String {
-    format!("id: {number}\ndata: {request} {number}\n\n")
+/// The text of an event: a function of request id and number, so that a caller can check that the event is its own.
+pub fn event_text(request_id: &str, number: u32) -> String {
+    format!("id: {number}\ndata: {request_id} {number}\n\n")
 }
--- a/crates/standin/src/site/instance.rs
+++ b/crates/standin/src/site/instance.rs
@@ -1,4 +1,4 @@
-//! An instance as a process of its own, with its log.
+//! An instance in a process of its own, with its log.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -9,37 +9,37 @@
 
 use tempfile::NamedTempFile;
 
-/// What an instance is told.
+/// The settings of an instance.
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
     /// Its name.
     pub name: String,
     /// Failure domain.
     pub domain: String,
-    /// Where callers connect.
+    /// Address on which it accepts callers.
     pub caller_address: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address on which it answers readiness probes.
     pub ready_address: SocketAddr,
-    /// Where other instances know it.
+    /// Control address, under which other instances know it.
     pub control_address: SocketAddr,
     /// Control addresses of some instances.
     pub seeds: Vec<SocketAddr>,
     /// Port for datagrams between instances.
     pub peer_port: Option<u16>,
-    /// The store, or a proxy before it.
+    /// Address of the store, or of a proxy in front of it.
     pub store_address: SocketAddr,
     /// Whether the system starts for the first time.
     pub first_start: bool,
-    /// Memory that it may take, in MB.
+    /// Memory limit, in MB.
     pub memory_mb: u64,
 }
 
 impl SiteSettings {
     fn text(&self) -> String {
         let seeds: Vec<_> = self.seeds.iter().map(ToString::to_string).collect();
-        let peers = self.peer_port.map(|port| format!("port_range={port},{port}\n")).unwrap_or_default();
+        let port_range = self.peer_port.map(|port| format!("port_range={port},{port}\n")).unwrap_or_default();
         format!(
-            "node={}\nzone={}\nlisten.front={}\nlisten.ready={}\nlisten.control={}\nseeds={}\n{peers}\
+            "node={}\nzone={}\nlisten.front={}\nlisten.ready={}\nlisten.control={}\nseeds={}\n{port_range}\
              first_start={}\nplatform.address={}\nbounds.grace_s=8\nbounds.drain_ms=2000\n\
              bounds.config_ms=2000\nbounds.stable_window_ms=3000\nbounds.budget_ratio=0.2\n\
              bounds.budget_slack=58\nbounds.budget_window_s=10\nlimits.memory_mb={}\n",
@@ -56,29 +56,32 @@
     }
 }
 
-/// A running process; killed when dropped.
+/// A running instance; killed when dropped.
 #[derive(Debug)]
 pub struct SiteInstance {
     child: Child,
-    lines: Arc<Mutex<Vec<String>>>,
-    closed: Arc<AtomicBool>,
+    log: Arc<Mutex<Vec<String>>>,
+    log_closed: Arc<AtomicBool>,
     _settings: NamedTempFile,
 }
 
 impl SiteInstance {
-    /// Starts `binary`.
+    /// Starts `binary` with these settings.
     ///
     /// # Errors
-    /// The settings cannot be written, or the process not started.
+    /// The settings cannot be written, or the process cannot be started.
     pub fn start(binary: &Path, settings: &SiteSettings) -> std::io::Result<Self> {
         let mut file = NamedTempFile::new()?;
         file.write_all(settings.text().as_bytes())?;
         let mut child = Command::new(binary).arg(file.path()).stdout(Stdio::piped()).spawn()?;
-        let lines = Arc::new(Mutex::new(Vec::new()));
-        let output = child.stdout.take().ok_or_else(|| std::io::Error::other("no pipe"))?;
-        let sink = Arc::clone(&lines);
-        let closed = Arc::new(AtomicBool::new(false));
-        let stop = Arc::clone(&closed);
+        let log = Arc::new(Mutex::new(Vec::new()));
+        let output = child
+            .stdout
+            .take()
+            .ok_or_else(|| std::io::Error::other("the process has no pipe for its output"))?;
+        let sink = Arc::clone(&log);
+        let log_closed = Arc::new(AtomicBool::new(false));
+        let stop = Arc::clone(&log_closed);
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 if stop.load(Ordering::Relaxed) {
@@ -87,24 +90,25 @@
                 sink.lock().unwrap_or_else(PoisonError::into_inner).push(line);
             }
         });
-        Ok(Self { child, lines, closed, _settings: file })
+        Ok(Self { child, log, log_closed, _settings: file })
     }
 
-    /// Reads no more of its log, and closes the way there.
+    /// Stops reading its log at the next line, and closes the pipe.
     pub fn close_log(&self) {
-        self.closed.store(true, Ordering::Relaxed);
+        self.log_closed.store(true, Ordering::Relaxed);
     }
 
     /// Log lines that contain a text.
     pub fn log_lines(&self, text: &str) -> Vec<String> {
-        let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
+        let lines = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
-    /// Sends a signal by name, such as `-TERM`, to this process and no other: once it has ended, its id may be another's.
+    /// Sends a signal by name, such as `-TERM`. A process that has ended gets none, since another process may have its
+    /// id by then.
     ///
     /// # Errors
-    /// `kill` cannot be run, or knows no such signal.
+    /// `kill` cannot be run, or does not know the signal.
     pub fn signal(&mut self, name: &str) -> std::io::Result<()> {
         if self.exit_success().is_some() {
             return Ok(());
@@ -113,14 +117,14 @@
         if status.success() { Ok(()) } else { Err(std::io::Error::other(format!("kill {name} failed"))) }
     }
 
-    /// Whether it has ended, and if so whether well.
+    /// Whether it exited with success; `None` while it runs.
     pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
-    /// Kills it and waits for its end.
+    /// Kills it and waits until it has ended.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -1,5 +1,5 @@
-//! The users' platform and endpoints as small stand-ins, as far as tests and the soak need them: a store that can
-//! only be read, plain services, engines that prefill or decode.
+//! Small stand-ins for the users' platform and endpoints, as far as tests and the soak need them: a store that the
+//! system only reads, plain services, and engines that prefill or decode.
 
 mod caller;
 mod configuration;
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the users' store: keys with revisions, lists and watches, read only for the system.
+//! A stand-in for the users' store: keys with revisions, lists and watches. The system can only read it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,55 +12,55 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::configuration::{site_configuration, site_teams};
-use super::http::{Asked, answer, read};
+use super::configuration::{site_configuration, site_configuration_with_teams};
+use super::http::{Request, read_request, write_response};
 
 /// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreMode {
-    /// It answers.
+    /// It responds.
     #[default]
     Up,
-    /// It answers 503.
+    /// It responds with 503.
     Busy,
-    /// It does not answer.
+    /// It sends no response.
     Silent,
     /// It closes connections.
     Closing,
 }
 
-/// Key of the configuration in force.
-const CONFIGURATION: &str = "op/config";
-/// Entries of one answer to a list; small, so that tests meet a second page.
-const PAGE: usize = 50;
+/// Key of the active configuration.
+const CONFIGURATION_KEY: &str = "op/config";
+/// Entries on one page of a list; few, so that lists in tests have a second page.
+const PAGE_ENTRIES: usize = 50;
 
 #[derive(Debug, Default)]
 struct Inner {
     revision: u64,
     /// Value and revision of each key.
     items: BTreeMap<String, (String, u64)>,
-    /// Every change: revision, key, value or removal.
+    /// Every change: its revision, its key, and the new value or `None` for a removal.
     changes: Vec<(u64, String, Option<String>)>,
-    /// Changes up to this revision are forgotten.
-    floor: u64,
+    /// Changes up to this revision are compacted.
+    compacted_revision: u64,
     mode: StoreMode,
     calls: u64,
-    /// What each watch asked to wait for, in milliseconds.
-    waits: Vec<u64>,
-    /// Whether every second call is refused as one too many.
+    /// The wait that each watch requested, in milliseconds.
+    watch_waits_ms: Vec<u64>,
+    /// Whether every second call is refused with 429.
     rate_limited: bool,
-    /// Told in all answers; `None` for an older platform.
+    /// Sent with all responses; `None` for an older platform, which sends none.
     era: Option<u64>,
 }
 
-/// A copy of all that the store holds.
+/// A backup of the store.
 #[derive(Debug, Clone)]
 pub struct StoreBackup {
     revision: u64,
     items: BTreeMap<String, (String, u64)>,
 }
 
-/// The store, served until dropped.
+/// A running store; it stops when dropped.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
@@ -70,7 +70,7 @@
 }
 
 impl Store {
-    /// Starts on a loopback port.
+    /// Starts a store on a loopback port.
     ///
     /// # Errors
     /// No port can be listened on.
@@ -83,19 +83,19 @@
         Ok(Self { address, inner, changed, task })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes the configuration with this number.
+    /// Writes the configuration with this version.
     pub fn publish(&self, version: u64) {
-        self.put(CONFIGURATION, &site_configuration(version));
+        self.put(CONFIGURATION_KEY, &site_configuration(version));
     }
 
-    /// Writes the configuration with this number and with teams.
+    /// Writes the configuration with this version, with teams.
     pub fn publish_with_teams(&self, version: u64) {
-        self.put(CONFIGURATION, &site_teams(version));
+        self.put(CONFIGURATION_KEY, &site_configuration_with_teams(version));
     }
 
     /// Writes a key.
@@ -108,25 +108,26 @@
         self.change(key, None);
     }
 
-    /// Forgets all changes so far; watches from before hear that their history is gone.
+    /// Compacts the history so far; watches from an earlier revision get 410.
     pub fn compact_history(&self) {
         let mut inner = lock(&self.inner);
-        inner.floor = inner.revision;
+        inner.compacted_revision = inner.revision;
         inner.changes.clear();
     }
 
-    /// Tells this era from now on.
+    /// Sends this era from now on.
     pub fn set_era(&self, era: u64) {
         lock(&self.inner).era = Some(era);
     }
 
-    /// A copy of what it holds.
+    /// A backup of its present content.
     pub fn backup(&self) -> StoreBackup {
         let inner = lock(&self.inner);
         StoreBackup { revision: inner.revision, items: inner.items.clone() }
     }
 
-    /// Comes back from a copy: what was written since is gone, its revisions are given out again, and the era rises.
+    /// Restores a backup: changes since the backup are lost, their revisions are assigned again, and the era rises
+    /// by one.
     pub fn restore(&self, backup: StoreBackup) {
         let mut inner = lock(&self.inner);
         inner.revision = backup.revision;
@@ -137,25 +138,25 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Changes how it behaves.
+    /// Replaces its mode.
     pub fn set_mode(&self, mode: StoreMode) {
         lock(&self.inner).mode = mode;
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Refuses every second call from now on, as a store does beyond its rate.
+    /// Refuses every second call with 429, as a store does above its rate limit.
     pub fn set_rate_limited(&self, rate_limited: bool) {
         lock(&self.inner).rate_limited = rate_limited;
     }
 
-    /// Calls answered or not so far.
+    /// Number of calls so far, whether they got a response or not.
     pub fn calls(&self) -> u64 {
         lock(&self.inner).calls
     }
 
-    /// What each watch so far asked to wait for, in milliseconds, answered or not.
+    /// The wait that each watch so far requested, in milliseconds, whether it got a response or not.
     pub fn watch_waits_ms(&self) -> Vec<u64> {
-        lock(&self.inner).waits.clone()
+        lock(&self.inner).watch_waits_ms.clone()
     }
 
     fn change(&self, key: &str, value: Option<String>) {
@@ -191,38 +192,38 @@
 
 async fn serve(mut stream: TcpStream, inner: Arc<Mutex<Inner>>, mut changed: watch::Receiver<u64>) {
     let mut buffer = Vec::new();
-    while let Some(asked) = read(&mut stream, &mut buffer).await {
+    while let Some(request) = read_request(&mut stream, &mut buffer).await {
         let (mode, refused) = {
             let mut inner = lock(&inner);
             inner.calls += 1;
             let refused = inner.rate_limited && inner.calls.is_multiple_of(2);
-            if let Some(wait) = asked.query("wait_ms") {
-                inner.waits.push(wait.parse().unwrap_or(0));
+            if let Some(wait) = request.query("wait_ms") {
+                inner.watch_waits_ms.push(wait.parse().unwrap_or(0));
             }
             (inner.mode, refused)
         };
-        let reply = match mode {
-            _ if refused => Reply::empty(429, &lock(&inner)),
-            StoreMode::Up if asked.path.starts_with("/-/kv-watch") => {
-                wait(&asked, &inner, &mut changed).await
+        let response = match mode {
+            _ if refused => StoreResponse::empty(429, &lock(&inner)),
+            StoreMode::Up if request.path.starts_with("/-/kv-watch") => {
+                answer_watch(&request, &inner, &mut changed).await
             }
-            StoreMode::Up => list(&asked, &lock(&inner)),
-            StoreMode::Busy => Reply::empty(503, &lock(&inner)),
+            StoreMode::Up => answer_list(&request, &lock(&inner)),
+            StoreMode::Busy => StoreResponse::empty(503, &lock(&inner)),
             StoreMode::Silent => std::future::pending().await,
             StoreMode::Closing => return,
         };
-        reply.send(&mut stream).await;
+        response.send(&mut stream).await;
     }
 }
 
-/// An answer, with the era in which it was made.
-struct Reply {
+/// A response with the era at its creation.
+struct StoreResponse {
     status: u16,
     body: Value,
     era: Option<u64>,
 }
 
-impl Reply {
+impl StoreResponse {
     fn new(status: u16, body: Value, inner: &Inner) -> Self {
         Self { status, body, era: inner.era }
     }
@@ -235,37 +236,42 @@
         let era = self.era.map(|era| era.to_string());
         let mut headers = vec![("content-type", "application/json")];
         headers.extend(era.as_deref().map(|era| ("store-era", era)));
-        answer(stream, self.status, &headers, &self.body.to_string()).await;
+        write_response(stream, self.status, &headers, &self.body.to_string()).await;
     }
 }
 
-fn list(asked: &Asked, inner: &Inner) -> Reply {
-    let prefix = asked.query("prefix").unwrap_or_default();
-    let after = asked.query("after").unwrap_or_default();
-    let fits = |key: &str| key.starts_with(prefix) && key > after;
-    let found: Vec<_> = inner.items.iter().filter(|(key, _)| fits(key)).collect();
-    let items: Vec<Value> = found.iter().take(PAGE).map(|(k, (v, r))| item(k, v, *r)).collect();
-    let body = json!({ "items": items, "has_more": found.len() > PAGE, "current_rev": inner.revision });
-    Reply::new(200, body, inner)
+fn answer_list(request: &Request, inner: &Inner) -> StoreResponse {
+    let prefix = request.query("prefix").unwrap_or_default();
+    let after = request.query("after").unwrap_or_default();
+    let matches = |key: &str| key.starts_with(prefix) && key > after;
+    let found: Vec<_> = inner.items.iter().filter(|(key, _)| matches(key)).collect();
+    let items: Vec<Value> = found.iter().take(PAGE_ENTRIES).map(|(k, (v, r))| item(k, v, *r)).collect();
+    let body =
+        json!({ "items": items, "has_more": found.len() > PAGE_ENTRIES, "current_rev": inner.revision });
+    StoreResponse::new(200, body, inner)
 }
 
 fn item(key: &str, value: &str, revision: u64) -> Value {
     json!({ "key": key, "value": value, "rev": revision, "create_revision": revision, "lease": 0 })
 }
 
-async fn wait(asked: &Asked, inner: &Mutex<Inner>, changed: &mut watch::Receiver<u64>) -> Reply {
-    let number = |name| asked.query(name).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
+async fn answer_watch(
+    request: &Request,
+    inner: &Mutex<Inner>,
+    changed: &mut watch::Receiver<u64>,
+) -> StoreResponse {
+    let number = |name| request.query(name).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
     let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms")));
-    let prefix = asked.query("prefix").unwrap_or_default();
-    let until = tokio::time::Instant::now() + wait;
+    let prefix = request.query("prefix").unwrap_or_default();
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         changed.mark_unchanged();
         {
             let inner = lock(inner);
-            if after < inner.floor || after > inner.revision {
-                return Reply::empty(410, &inner);
+            if after < inner.compacted_revision || after > inner.revision {
+                return StoreResponse::empty(410, &inner);
             }
-            let news: Vec<Value> = inner
+            let events: Vec<Value> = inner
                 .changes
                 .iter()
                 .filter(|(revision, key, _)| *revision > after && key.starts_with(prefix))
@@ -274,11 +280,15 @@
                     None => json!({ "key": key, "rev": revision, "removed": true }),
                 })
                 .collect();
-            if !news.is_empty() || tokio::time::Instant::now() >= until {
-                return Reply::new(200, json!({ "events": news, "current_rev": inner.revision }), &inner);
+            if !events.is_empty() || tokio::time::Instant::now() >= deadline {
+                return StoreResponse::new(
+                    200,
+                    json!({ "events": events, "current_rev": inner.revision }),
+                    &inner,
+                );
             }
         }
-        // Whether it was a change or the end of the wait is seen above.
-        let _ = tokio::time::timeout_at(until, changed.changed()).await;
+        // The next iteration checks whether a change or the deadline ended this wait.
+        let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
     }
 }
