--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers, and the promises that they check.
+//! Callers, and the guarantees that they check.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,70 +8,72 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use reqwest::{Client, Response};
-use teaselshunt_standin::{
-    CRASHING_BODY, FLOODING_TEAM, SiteExecution, UNLIMITED_TEAM, event_text, is_signed, site_request,
-};
+use teaselshunt_standin::{CRASHING_BODY, FLOODING_TEAM, UNLIMITED_TEAM};
+use teaselshunt_standin::{SiteExecution, event_text, is_signed, site_request};
 use tokio::task::JoinSet;
 
 use crate::faults::Plan;
 use crate::site::Site;
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Debug, Clone)]
-pub(crate) struct Broken {
-    pub(crate) promise: String,
-    pub(crate) request: Option<String>,
+pub(crate) struct Violation {
+    pub(crate) message: String,
+    pub(crate) request_id: Option<String>,
 }
 
-/// Time in which a leaving endpoint must get nothing new, with the checker's own slack.
-const DRAIN: Duration = Duration::from_millis(2500);
-/// Calm time of the store and of all instances' ways to it, before and after which [`DRAIN`] holds.
-const CALM: Duration = Duration::from_secs(3);
-/// Pause of a caller whose team floods.
+/// Time after which an endpoint that leaves gets no new request, with slack for the check itself.
+const DRAIN_TIME: Duration = Duration::from_millis(2500);
+/// Time without a disturbance of the store, of an instance or of its link to the store. [`DRAIN_TIME`] is checked only
+/// if the last disturbance is longer ago than that, both when the endpoint left and when it got the request.
+const QUIET: Duration = Duration::from_secs(3);
+/// Pause between two requests of a caller whose team floods.
 const FLOOD_PAUSE: Duration = Duration::from_millis(15);
-/// Span in which a team's limit must hold.
-const WINDOW: Duration = Duration::from_secs(8);
-/// By how much it may be exceeded in it: requests are sent again, wait at engines, and meet restarts and cuts.
-const TOLERANCE: f64 = 1.5;
-/// How long callers wait; several times what a stream takes.
+/// Window in which a team's limit must hold.
+const LIMIT_WINDOW: Duration = Duration::from_secs(8);
+/// Factor by which a team may exceed its limit in that window, since requests get second attempts, wait at engines, and
+/// meet restarts and network partitions.
+const LIMIT_TOLERANCE: f64 = 1.5;
+/// Deadline of requests: several times the duration of a stream.
 const DEADLINE_MS: u64 = 5_000;
-/// Events of a stream.
-const EVENTS: u32 = 20;
-/// Pause of a caller whose request crashes engines, in milliseconds.
-const CRASH_PAUSE: std::ops::Range<u64> = 500..3_000;
-/// Engines that one request may crash before all instances know it, once everything has healed: those that were all down in
-/// one moment have to learn it again.
-const CRASHES: usize = 3;
-/// Time in which all instances know what one has learned.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Requests a second that plain endpoints name at the end.
-const RATE: f64 = 3.0;
-/// Span in which what they get counts, by how much it may exceed the rate, and by how many requests besides.
+/// Number of events of a stream.
+const EVENT_COUNT: u32 = 20;
+/// Pause before each request that crashes engines, in milliseconds.
+const CRASH_PAUSE_MS: std::ops::Range<u64> = 500..3_000;
+/// Engines that one request may crash after all faults have ended, before all instances know that it crashes engines.
+/// Instances that were all down at the same moment have lost that knowledge and must learn it again.
+const MAX_CRASHES: usize = 3;
+/// Time in which all instances know what one instance has observed.
+const GOSSIP_TIME: Duration = Duration::from_secs(3);
+/// Requests a second that plain endpoints advertise at the end.
+const RATE_PER_S: f64 = 3.0;
+/// Window in which their requests are counted, the factor by which the count may exceed the rate, and the requests that
+/// are allowed in addition.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
-const RATE_OVER: f64 = 1.5;
+const RATE_TOLERANCE: f64 = 1.5;
 const RATE_SLACK: f64 = 5.0;
-/// Longest time for everything to be served again at the end.
-const RECOVERY: Duration = Duration::from_secs(90);
+/// Longest time until all requests are served again at the end.
+const RECOVERY_TIME: Duration = Duration::from_secs(90);
 
 #[derive(Debug, Default)]
-struct Book {
-    /// Requests that may run once, which were refused as not run.
+struct Records {
+    /// Ids of non-idempotent requests that were refused as not run.
     refused: Vec<String>,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
-    asked: AtomicU64,
+    sent: AtomicU64,
     answered: AtomicU64,
     refused: AtomicU64,
 }
 
 pub(crate) struct Callers {
-    book: Arc<Mutex<Book>>,
+    records: Arc<Mutex<Records>>,
     counts: Arc<Counts>,
     tasks: Mutex<JoinSet<()>>,
-    /// Whether promises with a time bound are left out.
+    /// Whether guarantees with a time bound are skipped.
     timeless: bool,
 }
 
@@ -79,101 +81,98 @@
 struct Caller {
     address: String,
     client: Client,
-    book: Arc<Mutex<Book>>,
+    records: Arc<Mutex<Records>>,
     counts: Arc<Counts>,
 }
 
 impl Callers {
-    /// Starts callers of every instance. They keep their connections until the process is gone.
+    /// Starts callers of every instance. They keep their connections until the instance's process has ended.
     pub(crate) fn start(site: &Site, seed: u64, timeless: bool) -> Self {
-        let (book, counts) = (Arc::<Mutex<Book>>::default(), Arc::<Counts>::default());
+        let (records, counts) = (Arc::<Mutex<Records>>::default(), Arc::<Counts>::default());
         let mut tasks = JoinSet::new();
         for (index, slot) in site.parts().instances.iter().enumerate() {
             let caller = Caller {
                 address: slot.settings.caller_address.to_string(),
                 client: Client::new(),
-                book: Arc::clone(&book),
+                records: Arc::clone(&records),
                 counts: Arc::clone(&counts),
             };
             for kind in ["once", "safe", "stream", "resume"] {
                 let rng = StdRng::seed_from_u64(seed ^ (index as u64 * 7 + kind.len() as u64));
-                tasks.spawn(caller.clone().ask_for_ever(kind, index, rng));
+                tasks.spawn(caller.clone().send_requests(kind, index, rng));
             }
-            tasks.spawn(caller.clone().flood_for_ever(index));
-            tasks.spawn(caller.crash_for_ever(index, StdRng::seed_from_u64(seed ^ (index as u64 * 11))));
+            tasks.spawn(caller.clone().send_flood(index));
+            tasks.spawn(caller.send_crashing(index, StdRng::seed_from_u64(seed ^ (index as u64 * 11))));
         }
-        Self { book, counts, tasks: Mutex::new(tasks), timeless }
+        Self { records, counts, tasks: Mutex::new(tasks), timeless }
     }
 
     pub(crate) fn summary(&self) -> String {
         let count = |c: &AtomicU64| c.load(Ordering::Relaxed);
-        let Counts { asked, answered, refused } = &*self.counts;
-        format!("{} asked, {} answered, {} refused", count(asked), count(answered), count(refused))
+        let Counts { sent, answered, refused } = &*self.counts;
+        format!("{} asked, {} answered, {} refused", count(sent), count(answered), count(refused))
     }
 
-    /// The first promise that is broken by now.
-    pub(crate) fn broken(&self, site: &Site) -> Option<Broken> {
-        let runs = site.runs();
-        let book = lock(&self.book);
-        if let Some(broken) = book.broken.first() {
-            return Some(broken.clone());
+    /// The first violation so far.
+    pub(crate) fn violation(&self, site: &Site) -> Option<Violation> {
+        let runs = site.executions();
+        let records = lock(&self.records);
+        if let Some(violation) = records.violations.first() {
+            return Some(violation.clone());
         }
         let mut counts: HashMap<&str, u32> = HashMap::new();
         for (run, _) in runs.iter().filter(|(run, _)| !run.prefill && run.resume_after.is_none()) {
             *counts.entry(&run.request_id).or_default() += 1;
         }
-        let broken = |promise: &str, id: &str| {
-            Some(Broken { promise: promise.to_owned(), request: Some(id.to_owned()) })
+        let violation = |message: &str, id: &str| {
+            Some(Violation { message: message.to_owned(), request_id: Some(id.to_owned()) })
         };
-        let once = |id: &str| ["once", "stream", "crash"].iter().any(|kind| id.starts_with(kind));
-        if let Some((id, _)) = counts.iter().find(|(id, n)| once(id) && **n > 1) {
-            return broken("a request that may run once ran twice", id);
+        let may_run_once = |id: &str| ["once", "stream", "crash"].iter().any(|kind| id.starts_with(kind));
+        if let Some((id, _)) = counts.iter().find(|(id, n)| may_run_once(id) && **n > 1) {
+            return violation("a non-idempotent request ran twice", id);
         }
-        if let Some(id) = book.refused.iter().find(|id| counts.contains_key(id.as_str())) {
-            return broken("a request that was refused as not run has run", id);
+        if let Some(id) = records.refused.iter().find(|id| counts.contains_key(id.as_str())) {
+            return violation("a request that was refused as not run has run", id);
         }
-        drop(book);
-        if let Some(run) = runs.iter().map(|(run, _)| run).find(|run| !is_told_truly(run)) {
-            return broken(
-                "an endpoint was told another team than the caller's, or its key",
-                &run.request_id,
-            );
+        drop(records);
+        if let Some(run) = runs.iter().map(|(run, _)| run).find(|run| !has_correct_team(run)) {
+            return violation("an endpoint got a wrong team or a caller's key", &run.request_id);
         }
         if self.timeless {
             return None;
         }
         if let Some(id) = beyond_limit(&runs) {
-            return broken("a team got more than its limit", &id);
+            return violation("a team exceeded its limit", &id);
         }
         let parts = site.parts();
-        let calm = parts.instances.iter().map(|s| s.calm).max().unwrap_or_else(Instant::now);
-        let late = runs.iter().find(|(run, left)| {
+        let since = parts.instances.iter().map(|s| s.undisturbed_since).max().unwrap_or_else(Instant::now);
+        let late_run = runs.iter().find(|(run, left)| {
             left.is_some_and(|left| {
-                run.started_at > left + DRAIN && left > calm + CALM && run.started_at > calm + CALM
+                run.started_at > left + DRAIN_TIME && left > since + QUIET && run.started_at > since + QUIET
             })
         });
-        late.and_then(|(run, _)| broken("an endpoint that had left got a request", &run.request_id))
+        late_run.and_then(|(run, _)| violation("an endpoint that had left got a request", &run.request_id))
     }
 
-    /// After everything has healed, every instance must serve every kind again, and nothing may be left at engines.
-    pub(crate) async fn recover(&self, site: &Site) -> Result<(), Broken> {
+    /// After all faults have ended, every instance must serve every kind of request again, and no endpoint may still
+    /// run requests.
+    pub(crate) async fn verify_recovery(&self, site: &Site) -> Result<(), Violation> {
         self.tasks.lock().unwrap_or_else(PoisonError::into_inner).abort_all();
-        let end = Instant::now() + RECOVERY;
+        let end = Instant::now() + RECOVERY_TIME;
         let addresses: Vec<String> =
             site.parts().instances.iter().map(|s| s.settings.caller_address.to_string()).collect();
         let newest = format!("v{}", site.parts().version);
         for address in &addresses {
-            // The last is the route that only the newest version has.
+            // The last kind is the route that only the newest configuration has.
             for kind in ["once", "safe", "stream", "resume", newest.as_str()] {
                 while !self
                     .caller(address)
-                    .ask(kind, &format!("{kind}-end-{address}-{:?}", Instant::now()))
+                    .send(kind, &format!("{kind}-end-{address}-{:?}", Instant::now()))
                     .await
                 {
                     if Instant::now() > end {
-                        let promise =
-                            format!("{address} does not serve {kind} again after everything healed");
-                        return Err(Broken { promise, request: Some(format!("{kind}-end-{address}")) });
+                        let message = format!("{address} does not serve {kind} after all faults ended");
+                        return Err(Violation { message, request_id: Some(format!("{kind}-end-{address}")) });
                     }
                     tokio::time::sleep(Duration::from_millis(200)).await;
                 }
@@ -181,62 +180,59 @@
         }
         while site.parts().endpoints.iter().any(|e| e.server.active_requests() > 0) {
             if Instant::now() > end {
-                let promise = "an endpoint still works for callers who have gone".to_owned();
-                return Err(Broken { promise, request: None });
+                let message = "an endpoint still runs requests of callers that have disconnected".to_owned();
+                return Err(Violation { message, request_id: None });
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
-        self.broken(site).map_or(Ok(()), Err)
+        self.violation(site).map_or(Ok(()), Err)
     }
 
-    /// After everything has healed, a request that crashes engines crashes few more.
-    pub(crate) async fn crash_again(&self, site: &Site, plan: &mut Plan) -> Result<(), Broken> {
-        let before = site.crashed();
+    /// After all faults have ended, a request that crashes engines may crash at most [`MAX_CRASHES`] more.
+    pub(crate) async fn verify_quarantine(&self, site: &Site, plan: &mut Plan) -> Result<(), Violation> {
+        let before = site.crash_count();
         let addresses: Vec<String> =
             site.parts().instances.iter().map(|s| s.settings.caller_address.to_string()).collect();
-        for (number, address) in addresses.iter().cycle().take(CRASHES).enumerate() {
-            self.caller(address).ask("crash", &format!("crash-first-{number}")).await;
-            plan.bury(site).await;
+        for (number, address) in addresses.iter().cycle().take(MAX_CRASHES).enumerate() {
+            self.caller(address).send("crash", &format!("crash-first-{number}")).await;
+            plan.replace_crashed(site).await;
         }
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(GOSSIP_TIME).await;
         for (number, address) in addresses.iter().enumerate() {
-            self.caller(address).ask("crash", &format!("crash-last-{number}")).await;
-            plan.bury(site).await;
+            self.caller(address).send("crash", &format!("crash-last-{number}")).await;
+            plan.replace_crashed(site).await;
         }
-        let more = site.crashed() - before;
-        if more > CRASHES {
-            let promise = format!("a request crashed {more} engines after everything had healed");
-            return Err(Broken { promise, request: Some("crash-last".to_owned()) });
+        let more = site.crash_count() - before;
+        if more > MAX_CRASHES {
+            let message = format!("a request crashed {more} engines after all faults had ended");
+            return Err(Violation { message, request_id: Some("crash-last".to_owned()) });
         }
         Ok(())
     }
 
-    /// Plain endpoints name a rate once everything has healed, and callers ask on. As a promise with a time bound it is not
-    /// checked beside other work.
-    pub(crate) async fn keep_rates(&self, site: &Site) -> Result<(), Broken> {
-        let name = |rate: Option<&str>| {
+    /// After all faults have ended, plain endpoints that advertise a rate must get no more requests than that allows.
+    /// This guarantee has a time bound, so it is not checked beside other load.
+    pub(crate) async fn verify_rates(&self, site: &Site) -> Result<(), Violation> {
+        let advertise = |rate: Option<&str>| {
             let parts = site.parts();
-            let plain = parts.endpoints.iter().filter(|endpoint| endpoint.server.stage().is_none());
-            plain.for_each(|endpoint| endpoint.server.advertise_limit(rate));
+            let plain = parts.endpoints.iter().filter(|e| e.server.stage().is_none());
+            plain.for_each(|e| e.server.advertise_limit(rate));
         };
-        name(Some(&RATE.to_string()));
-        tokio::time::sleep(SETTLED).await;
-        let from = Instant::now();
+        advertise(Some(&RATE_PER_S.to_string()));
+        tokio::time::sleep(GOSSIP_TIME).await;
+        let counted_from = Instant::now();
         tokio::time::sleep(RATE_WINDOW * 2).await;
-        name(None);
-        let allowed = (RATE * RATE_WINDOW.as_secs_f64() * RATE_OVER + RATE_SLACK) as usize;
+        advertise(None);
+        let allowed = (RATE_PER_S * RATE_WINDOW.as_secs_f64() * RATE_TOLERANCE + RATE_SLACK) as usize;
         let parts = site.parts();
-        let over =
-            parts.endpoints.iter().filter(|endpoint| endpoint.server.stage().is_none()).find(|endpoint| {
-                let arrivals: Vec<_> =
-                    endpoint.server.arrivals().into_iter().filter(|at| *at >= from).collect();
-                arrivals.windows(allowed + 1).any(|span| span[allowed] - span[0] < RATE_WINDOW)
-            });
-        match over {
+        let exceeded = parts.endpoints.iter().filter(|e| e.server.stage().is_none()).find(|e| {
+            let arrivals: Vec<_> = e.server.arrivals().into_iter().filter(|at| *at >= counted_from).collect();
+            arrivals.windows(allowed + 1).any(|span| span[allowed] - span[0] < RATE_WINDOW)
+        });
+        match exceeded {
             Some(endpoint) if !self.timeless => {
-                let promise =
-                    format!("endpoint {} got more than the rate that it names", endpoint.server.id());
-                Err(Broken { promise, request: None })
+                let message = format!("endpoint {} got more than its advertised rate", endpoint.server.id());
+                Err(Violation { message, request_id: None })
             }
             Some(_) | None => Ok(()),
         }
@@ -246,71 +242,70 @@
         Caller {
             address: address.to_owned(),
             client: Client::new(),
-            book: Arc::clone(&self.book),
+            records: Arc::clone(&self.records),
             counts: Arc::clone(&self.counts),
         }
     }
 }
 
-/// Whether an endpoint was told the team of the caller whose request it ran, and no key.
-fn is_told_truly(run: &SiteExecution) -> bool {
+/// Whether an endpoint got the team of the caller whose request it ran, and no key.
+fn has_correct_team(run: &SiteExecution) -> bool {
     let team = if run.request_id.starts_with("flood") { FLOODING_TEAM } else { UNLIMITED_TEAM };
     run.team.as_deref() == Some(team.name) && run.authorization.is_none()
 }
 
-/// The last request of a window in which the flooding team got more than its limit and the tolerance.
+/// The last request of a window in which the flooding team exceeded its limit and the tolerance.
 fn beyond_limit(runs: &[(SiteExecution, Option<Instant>)]) -> Option<String> {
-    let most = (FLOODING_TEAM.rate_per_s * (WINDOW.as_secs() + 1)) as f64 * TOLERANCE;
+    let allowed = (FLOODING_TEAM.rate_per_s * (LIMIT_WINDOW.as_secs() + 1)) as f64 * LIMIT_TOLERANCE;
     let flood = runs.iter().map(|(run, _)| run).filter(|run| run.request_id.starts_with("flood"));
     let mut flood: Vec<&SiteExecution> = flood.collect();
     flood.sort_by_key(|run| run.started_at);
-    let mut spans = flood.windows(most as usize + 1);
-    let full =
-        spans.find(|span| span[span.len() - 1].started_at.duration_since(span[0].started_at) < WINDOW)?;
-    Some(full[full.len() - 1].request_id.clone())
+    let mut spans = flood.windows(allowed as usize + 1);
+    let window = spans.find(|s| s[s.len() - 1].started_at.duration_since(s[0].started_at) < LIMIT_WINDOW)?;
+    Some(window[window.len() - 1].request_id.clone())
 }
 
-fn lock(book: &Mutex<Book>) -> std::sync::MutexGuard<'_, Book> {
-    book.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(records: &Mutex<Records>) -> std::sync::MutexGuard<'_, Records> {
+    records.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Caller {
-    async fn ask_for_ever(self, kind: &'static str, index: usize, mut rng: StdRng) {
+    async fn send_requests(self, kind: &'static str, index: usize, mut rng: StdRng) {
         for number in 0_u64.. {
             let id = format!("{kind}-{index}-{number}-{:x}", rng.random::<u32>());
-            let impatient = rng.random_bool(0.1).then(|| rng.random_range(1..300));
-            match impatient {
-                // One who leaves early; the time is the fault, and nothing is concluded from it.
-                Some(patience) => {
-                    let _ = tokio::time::timeout(Duration::from_millis(patience), self.ask(kind, &id)).await;
+            let disconnect_ms = rng.random_bool(0.1).then(|| rng.random_range(1..300));
+            match disconnect_ms {
+                // The caller disconnects after this time. The disconnect is an injected fault and proves nothing.
+                Some(ms) => {
+                    let _ = tokio::time::timeout(Duration::from_millis(ms), self.send(kind, &id)).await;
                 }
                 None => {
-                    self.ask(kind, &id).await;
+                    self.send(kind, &id).await;
                 }
             }
             tokio::time::sleep(Duration::from_millis(rng.random_range(5..80))).await;
         }
     }
 
-    /// Asks for far more than its team's limit.
-    async fn flood_for_ever(self, index: usize) {
+    /// Sends far more requests than its team's limit.
+    async fn send_flood(self, index: usize) {
         for number in 0_u64.. {
-            self.ask("flood", &format!("flood-{index}-{number}")).await;
+            self.send("flood", &format!("flood-{index}-{number}")).await;
             tokio::time::sleep(FLOOD_PAUSE).await;
         }
     }
 
-    /// Sends the same request again and again, which crashes each engine that begins to run it.
-    async fn crash_for_ever(self, index: usize, mut rng: StdRng) {
+    /// Sends the same request repeatedly, which crashes each engine that starts to run it.
+    async fn send_crashing(self, index: usize, mut rng: StdRng) {
         for number in 0_u64.. {
-            tokio::time::sleep(Duration::from_millis(rng.random_range(CRASH_PAUSE))).await;
-            self.ask("crash", &format!("crash-{index}-{number}-{:x}", rng.random::<u32>())).await;
+            tokio::time::sleep(Duration::from_millis(rng.random_range(CRASH_PAUSE_MS))).await;
+            self.send("crash", &format!("crash-{index}-{number}-{:x}", rng.random::<u32>())).await;
         }
     }
 
-    /// Asks, and checks what comes back. Says whether it was a whole answer.
-    async fn ask(&self, kind: &str, id: &str) -> bool {
-        self.counts.asked.fetch_add(1, Ordering::Relaxed);
+    /// Sends a request and checks its response. Returns whether the response was complete.
+    async fn send(&self, kind: &str, id: &str) -> bool {
+        self.counts.sent.fetch_add(1, Ordering::Relaxed);
         let crashes = kind == "crash";
         let path = match kind {
             "crash" => "/stream/".to_owned(),
@@ -323,57 +318,57 @@
         if crashes {
             request = request.body(CRASHING_BODY);
         }
-        // A connection that breaks promises nothing.
+        // A broken connection tells nothing about the request.
         let Ok(response) = request.send().await else { return false };
         match response.status().as_u16() {
-            200 => self.check(kind, id, response).await,
+            200 => self.check_response(kind, id, response).await,
             408 | 421 | 429 | 503 => {
                 self.counts.refused.fetch_add(1, Ordering::Relaxed);
                 if ["once", "stream", "crash"].contains(&kind) {
-                    lock(&self.book).refused.push(id.to_owned());
+                    lock(&self.records).refused.push(id.to_owned());
                 }
                 false
             }
             500 | 502 | 504 => false,
-            // A version that has just been published.
+            // The route of a version that was just published may not be active yet.
             404 if kind.starts_with('v') => false,
             other => {
-                self.breaks(id, format!("a proper request was answered {other}"));
+                self.report(id, format!("a valid request got status {other}"));
                 false
             }
         }
     }
 
-    async fn check(&self, kind: &str, id: &str, mut response: Response) -> bool {
+    async fn check_response(&self, kind: &str, id: &str, mut response: Response) -> bool {
         if !is_signed(response.headers()) {
-            self.breaks(id, "an answer without its endpoint's signature".to_owned());
+            self.report(id, "a response lacks its endpoint's signature".to_owned());
         }
         let mut text = Vec::new();
-        let whole = loop {
+        let complete = loop {
             match response.chunk().await {
-                Ok(Some(piece)) => text.extend_from_slice(&piece),
+                Ok(Some(chunk)) => text.extend_from_slice(&chunk),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
         let text = String::from_utf8_lossy(&text).into_owned();
         let expected: String = if ["stream", "resume", "crash"].contains(&kind) {
-            (1..=EVENTS).map(|number| event_text(id, number)).collect()
+            (1..=EVENT_COUNT).map(|number| event_text(id, number)).collect()
         } else {
             format!("answer to {id}")
         };
-        if whole && text != expected {
-            self.breaks(id, format!("an answer that looks whole is not its own: {text:?}"));
+        if complete && text != expected {
+            self.report(id, format!("a complete response is not that of its request: {text:?}"));
         } else if !expected.starts_with(&text) {
-            self.breaks(id, format!("pieces are missing, doubled or another's: {text:?}"));
+            self.report(id, format!("a response has missing, repeated or foreign parts: {text:?}"));
         }
-        if whole {
+        if complete {
             self.counts.answered.fetch_add(1, Ordering::Relaxed);
         }
-        whole
+        complete
     }
 
-    fn breaks(&self, id: &str, promise: String) {
-        lock(&self.book).broken.push(Broken { promise, request: Some(id.to_owned()) });
+    fn report(&self, id: &str, message: String) {
+        lock(&self.records).violations.push(Violation { message, request_id: Some(id.to_owned()) });
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,9 +1,10 @@
-//! A randomized soak: real instances as processes, faults from outside, promises checked while it runs.
+//! A randomized soak: real instances as processes, injected faults, and guarantees that are checked during the run.
 //!
-//! Endpoints and the store are stand-ins in this process, so that what ran where is known at once; every connection of
-//! an instance to them goes through a proxy that can harm it. Faults come in series and overlap, drawn from one seed.
-//! A promise that is broken is printed with the seed, the plan so far and the log lines of the request, and the run
-//! ends with exit code 1. Only processes that the soak started are signalled, by their ids.
+//! Endpoints and the store are stand-ins in this process, so that the soak knows at once which request ran where. Every
+//! connection of an instance to a stand-in goes through a proxy that can impair it. The faults come in series, overlap,
+//! and are drawn from one seed. A violation of a guarantee ends the run of its seed. The soak prints the violation with
+//! the seed, the plan so far and the log lines of the request, and later exits with code 1. The soak signals only
+//! processes that it started, by their ids.
 
 mod callers;
 mod faults;
@@ -33,13 +34,13 @@
     seconds: u64,
     #[options(help = "instances, each a process", default = "4")]
     processes: usize,
-    #[options(help = "leave out promises with a time bound, as on a machine that others use")]
+    #[options(help = "skip guarantees with a time bound, for a machine with other load")]
     timeless: bool,
-    #[options(help = "also run every seed that ever failed (crates/soak/seeds.txt)")]
+    #[options(help = "also run every seed that has failed before (crates/soak/seeds.txt)")]
     regressions: bool,
 }
 
-/// Seeds that failed once, one a line, each with its cause after a comma.
+/// Seeds that have failed before, one a line, each with its cause after a comma.
 const SEEDS: &str = include_str!("../seeds.txt");
 
 #[tokio::main]
@@ -53,9 +54,9 @@
     for seed in &seeds {
         match run(*seed, &arguments).await {
             Ok(summary) => println!("seed {seed}: held; {summary}"),
-            Err(story) => {
+            Err(report) => {
                 failed += 1;
-                println!("seed {seed}: BROKEN\n{story}");
+                println!("seed {seed}: BROKEN\n{report}");
             }
         }
     }
@@ -63,41 +64,41 @@
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// One run; what was broken is told as a whole story.
+/// Runs one seed. The error is the report of a violation.
 async fn run(seed: u64, arguments: &Arguments) -> Result<String, String> {
     let site = Site::start(arguments.processes).await.map_err(|e| format!("the site does not start: {e}"))?;
     let callers = Callers::start(&site, seed, arguments.timeless);
     let mut plan = Plan::new(StdRng::seed_from_u64(seed));
     let end = tokio::time::Instant::now() + Duration::from_secs(arguments.seconds);
-    let mut next = tokio::time::Instant::now() + Duration::from_secs(5);
+    let mut next_summary = tokio::time::Instant::now() + Duration::from_secs(5);
     while tokio::time::Instant::now() < end {
         plan.step(&site).await;
-        if let Some(broken) = callers.broken(&site) {
-            return Err(story(seed, &plan, &broken, &site));
+        if let Some(violation) = callers.violation(&site) {
+            return Err(failure_report(seed, &plan, &violation, &site));
         }
-        if tokio::time::Instant::now() >= next {
-            next += Duration::from_secs(5);
+        if tokio::time::Instant::now() >= next_summary {
+            next_summary += Duration::from_secs(5);
             println!("seed {seed}: {} faults, {}", plan.count(), callers.summary());
         }
     }
     plan.heal(&site).await;
-    if let Err(broken) = callers.recover(&site).await {
-        return Err(story(seed, &plan, &broken, &site));
+    if let Err(violation) = callers.verify_recovery(&site).await {
+        return Err(failure_report(seed, &plan, &violation, &site));
     }
-    if let Err(broken) = callers.crash_again(&site, &mut plan).await {
-        return Err(story(seed, &plan, &broken, &site));
+    if let Err(violation) = callers.verify_quarantine(&site, &mut plan).await {
+        return Err(failure_report(seed, &plan, &violation, &site));
     }
-    if let Err(broken) = callers.keep_rates(&site).await {
-        return Err(story(seed, &plan, &broken, &site));
+    if let Err(violation) = callers.verify_rates(&site).await {
+        return Err(failure_report(seed, &plan, &violation, &site));
     }
-    Ok(format!("{} faults, {} engines crashed, {}", plan.count(), site.crashed(), callers.summary()))
+    Ok(format!("{} faults, {} engines crashed, {}", plan.count(), site.crash_count(), callers.summary()))
 }
 
-fn story(seed: u64, plan: &Plan, broken: &callers::Broken, site: &Site) -> String {
-    let lines = broken.request.as_deref().map(|id| site.logged(id)).unwrap_or_default();
+fn failure_report(seed: u64, plan: &Plan, violation: &callers::Violation, site: &Site) -> String {
+    let lines = violation.request_id.as_deref().map(|id| site.log_lines(id)).unwrap_or_default();
     format!(
         "promise: {}\nseed: {seed}\nplan:\n{}\nlog lines of the request:\n{}\n",
-        broken.promise,
+        violation.message,
         plan.text(),
         lines.join("\n")
     )
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! A loopback proxy that impairs the connections through it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// What the proxy does to connections.
+/// A network impairment. The plan of a run prints the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) enum Harm {
-    /// Nothing.
+pub(crate) enum Impairment {
+    /// No impairment.
     #[default]
     None,
-    /// Bytes pass after this time.
+    /// Bytes are forwarded after this time.
     Delay(Duration),
-    /// Connections are closed, and new ones too.
+    /// Connections are closed, also new ones.
     Reset,
-    /// Nothing passes back from the far end.
+    /// Bytes from the target are lost.
     OneWay,
-    /// Nothing passes; nobody is told.
+    /// Connections are black-holed: all bytes are lost, and neither end is notified.
     Silent,
 }
 
@@ -29,22 +29,22 @@
 #[derive(Debug)]
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
-    harm: Arc<watch::Sender<Harm>>,
+    impairment: Arc<watch::Sender<Impairment>>,
     task: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Starts a proxy to `target`, which ends when that one crashes.
+    /// Starts a proxy to `target`, which ends when the target crashes.
     pub(crate) async fn start(target: SocketAddr, crash: watch::Receiver<bool>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        let harm = Arc::new(watch::Sender::new(Harm::None));
-        let task = tokio::spawn(accept(listener, target, Arc::clone(&harm), crash));
-        Ok(Self { address, harm, task })
+        let impairment = Arc::new(watch::Sender::new(Impairment::None));
+        let task = tokio::spawn(accept(listener, target, Arc::clone(&impairment), crash));
+        Ok(Self { address, impairment, task })
     }
 
-    pub(crate) fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    pub(crate) fn set(&self, impairment: Impairment) {
+        self.impairment.send_replace(impairment);
     }
 }
 
@@ -57,7 +57,7 @@
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
-    harm: Arc<watch::Sender<Harm>>,
+    impairment: Arc<watch::Sender<Impairment>>,
     mut crash: watch::Receiver<bool>,
 ) {
     let mut connections = JoinSet::new();
@@ -66,33 +66,33 @@
             Ok(_) = crash.wait_for(|crashed| *crashed) => return,
             accepted = listener.accept() => accepted,
         };
-        let Ok((near, _)) = accepted else { return };
-        let harm = harm.subscribe();
+        let Ok((client, _)) = accepted else { return };
+        let impairment = impairment.subscribe();
         connections.spawn(async move {
-            if *harm.borrow() == Harm::Reset {
+            if *impairment.borrow() == Impairment::Reset {
                 return;
             }
-            let Ok(far) = TcpStream::connect(target).await else { return };
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
-            let reset = reset(harm.clone());
+            let Ok(upstream) = TcpStream::connect(target).await else { return };
+            let (client_read, client_write) = client.into_split();
+            let (target_read, target_write) = upstream.into_split();
+            let reset = wait_for_reset(impairment.clone());
             tokio::select! {
                 () = reset => {}
-                // An end of one direction ends both, as a broken connection does.
-                () = pass(near_read, far_write, harm.clone(), false) => {}
-                () = pass(far_read, near_write, harm, true) => {}
+                // The end of one direction ends both, as a broken connection does.
+                () = forward(client_read, target_write, impairment.clone(), false) => {}
+                () = forward(target_read, client_write, impairment, true) => {}
             }
         });
     }
 }
 
-async fn reset(mut harm: watch::Receiver<Harm>) {
-    if harm.wait_for(|h| *h == Harm::Reset).await.is_err() {
+async fn wait_for_reset(mut impairment: watch::Receiver<Impairment>) {
+    if impairment.wait_for(|i| *i == Impairment::Reset).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-async fn pass<R, W>(mut from: R, mut to: W, harm: watch::Receiver<Harm>, back: bool)
+async fn forward<R, W>(mut from: R, mut to: W, impairment: watch::Receiver<Impairment>, to_client: bool)
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin,
@@ -100,13 +100,13 @@
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let Ok(length @ 1..) = from.read(&mut buffer).await else { return };
-        let now = *harm.borrow();
-        match now {
-            Harm::None | Harm::Reset => {}
-            Harm::Delay(time) => tokio::time::sleep(time).await,
-            Harm::OneWay if !back => {}
-            // What was lost is lost: the connection stays silent for good, also when new ones work.
-            Harm::OneWay | Harm::Silent => std::future::pending::<()>().await,
+        let current = *impairment.borrow();
+        match current {
+            Impairment::None | Impairment::Reset => {}
+            Impairment::Delay(time) => tokio::time::sleep(time).await,
+            Impairment::OneWay if !to_client => {}
+            // Lost bytes are not sent again, so the connection stays black-holed, even when new connections work.
+            Impairment::OneWay | Impairment::Silent => std::future::pending::<()>().await,
         }
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The site: store, endpoints, instances, and the proxies between them.
+//! The site under test: store, endpoints, instances, and the proxies between them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,38 +10,38 @@
 
 use crate::proxy::Proxy;
 
-/// Memory of an instance, in MB.
+/// Memory limit of an instance, in MB.
 const MEMORY_MB: u64 = 96;
 
 /// An endpoint behind its proxy.
 pub(crate) struct Endpoint {
     pub(crate) server: SiteEndpoint,
     pub(crate) proxy: Proxy,
-    /// When its entry said that it leaves, or was removed.
+    /// When its entry was set to draining or was removed.
     pub(crate) left: Option<Instant>,
 }
 
-/// An instance, which may be down.
+/// An instance, whose process may be down.
 pub(crate) struct Slot {
     pub(crate) settings: SiteSettings,
-    pub(crate) store: Proxy,
+    pub(crate) store_link: Proxy,
     pub(crate) process: Option<SiteInstance>,
-    /// Log lines of processes that have ended.
-    former: Vec<SiteInstance>,
-    /// Grows with each start.
-    pub(crate) life: u64,
-    /// Since when nothing was done to the process or its way to the store.
-    pub(crate) calm: Instant,
+    /// Processes that have ended; their log lines are still searched.
+    previous: Vec<SiteInstance>,
+    /// Number of the present incarnation.
+    pub(crate) incarnation: u64,
+    /// Since when no fault touched the process or its link to the store.
+    pub(crate) undisturbed_since: Instant,
 }
 
-/// Everything that faults act on.
+/// The parts of the site that faults act on.
 pub(crate) struct Parts {
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Endpoints that have ended; their ledgers still count.
+    /// Endpoints that have left; their execution logs are still checked.
     pub(crate) ended: Vec<Endpoint>,
     pub(crate) instances: Vec<Slot>,
     pub(crate) version: u64,
-    next: u64,
+    next_id: u64,
 }
 
 pub(crate) struct Site {
@@ -50,7 +50,7 @@
     binary: PathBuf,
 }
 
-/// Stages of the site's engines; two of them are plain services.
+/// Stage of each endpoint of the site; `None` for a plain service.
 const STAGES: [Option<&str>; 7] =
     [None, None, Some("prefill"), Some("prefill"), Some("decode"), Some("decode"), Some("decode")];
 
@@ -60,11 +60,11 @@
         let binary = directory.parent().map(|d| d.join("teaselshunt")).unwrap_or_default();
         let store = Store::start().await?;
         let parts =
-            Parts { endpoints: Vec::new(), ended: Vec::new(), instances: Vec::new(), version: 1, next: 0 };
+            Parts { endpoints: Vec::new(), ended: Vec::new(), instances: Vec::new(), version: 1, next_id: 0 };
         let site = Self { store, parts: Mutex::new(parts), binary };
         site.publish();
         for stage in STAGES {
-            site.add(stage).await?;
+            site.add_endpoint(stage).await?;
         }
         for number in 0..count {
             site.add_instance(number).await?;
@@ -77,9 +77,9 @@
     }
 
     async fn add_instance(&self, number: usize) -> std::io::Result<()> {
-        // The store does not crash; a sender that is gone never says so.
-        let store = Proxy::start(self.store.address(), watch::channel(false).1).await?;
-        // Addresses of their own, so that ports can be the same on all, as on machines of their own.
+        // The store does not crash: the sender of this channel is dropped, so the receiver never reports a crash.
+        let store_link = Proxy::start(self.store.address(), watch::channel(false).1).await?;
+        // Each instance has a loopback address of its own, so that all use the same ports, as on separate machines.
         let id = std::process::id();
         let ip = [127, 60 + (id % 100) as u8, 1 + (id / 100 % 200) as u8, number as u8 + 1];
         let address = |port: u16| SocketAddr::from((ip, port));
@@ -92,25 +92,32 @@
             control_address: address(8003),
             seeds: vec![seed],
             peer_port: Some(8004),
-            store_address: store.address,
+            store_address: store_link.address,
             first_start: true,
             memory_mb: MEMORY_MB,
         };
         let process = Some(SiteInstance::start(&self.binary, &settings)?);
-        let calm = Instant::now();
-        self.parts().instances.push(Slot { settings, store, process, former: Vec::new(), life: 1, calm });
+        let undisturbed_since = Instant::now();
+        self.parts().instances.push(Slot {
+            settings,
+            store_link,
+            process,
+            previous: Vec::new(),
+            incarnation: 1,
+            undisturbed_since,
+        });
         Ok(())
     }
 
-    /// Starts a stopped instance again.
+    /// Restarts an instance whose process has ended.
     pub(crate) fn restart(&self, index: usize) {
         let mut parts = self.parts();
         let slot = &mut parts.instances[index];
         slot.settings.first_start = false;
-        slot.life += 1;
-        slot.calm = Instant::now();
-        if let Some(former) = slot.process.take() {
-            slot.former.push(former);
+        slot.incarnation += 1;
+        slot.undisturbed_since = Instant::now();
+        if let Some(previous) = slot.process.take() {
+            slot.previous.push(previous);
         }
         match SiteInstance::start(&self.binary, &slot.settings) {
             Ok(process) => slot.process = Some(process),
@@ -118,12 +125,12 @@
         }
     }
 
-    /// Adds an endpoint and lists it.
-    pub(crate) async fn add(&self, stage: Option<&'static str>) -> std::io::Result<()> {
+    /// Starts an endpoint and adds its entry to the store.
+    pub(crate) async fn add_endpoint(&self, stage: Option<&'static str>) -> std::io::Result<()> {
         let id = {
             let mut parts = self.parts();
-            parts.next += 1;
-            format!("e-{}", parts.next)
+            parts.next_id += 1;
+            format!("e-{}", parts.next_id)
         };
         let options = SiteOptions {
             id,
@@ -137,39 +144,39 @@
         };
         let endpoint = SiteEndpoint::start(options).await?;
         let proxy = Proxy::start(endpoint.address(), endpoint.crash_signal()).await?;
-        self.store.put(&key(&endpoint), &endpoint.entry(proxy.address, "ready"));
+        self.store.put(&store_key(&endpoint), &endpoint.entry(proxy.address, "ready"));
         self.parts().endpoints.push(Endpoint { server: endpoint, proxy, left: None });
         Ok(())
     }
 
-    /// Publishes the configuration with the number in force. Each version has a route that no other one has.
+    /// Publishes the configuration with the current version. Each version has a route that no other version has.
     pub(crate) fn publish(&self) {
         let version = self.parts().version;
         self.store.publish_with_teams(version);
     }
 
-    /// Everything that endpoints ran, ended ones as well, with the time at which each endpoint left.
-    pub(crate) fn runs(&self) -> Vec<(SiteExecution, Option<Instant>)> {
+    /// Every request that endpoints ran, including those that have left, with the time at which the endpoint left.
+    pub(crate) fn executions(&self) -> Vec<(SiteExecution, Option<Instant>)> {
         let parts = self.parts();
         let all = parts.endpoints.iter().chain(&parts.ended);
         all.flat_map(|e| e.server.executions().into_iter().map(|run| (run, e.left))).collect()
     }
 
-    /// Endpoints that a request has crashed.
-    pub(crate) fn crashed(&self) -> usize {
+    /// Number of endpoints that a request has crashed.
+    pub(crate) fn crash_count(&self) -> usize {
         let parts = self.parts();
         parts.endpoints.iter().chain(&parts.ended).filter(|e| e.server.has_crashed()).count()
     }
 
     /// Log lines of all instances that contain a text.
-    pub(crate) fn logged(&self, text: &str) -> Vec<String> {
+    pub(crate) fn log_lines(&self, text: &str) -> Vec<String> {
         let parts = self.parts();
-        let processes = parts.instances.iter().flat_map(|s| s.former.iter().chain(&s.process));
+        let processes = parts.instances.iter().flat_map(|s| s.previous.iter().chain(&s.process));
         processes.flat_map(|p| p.log_lines(text)).collect()
     }
 }
 
-/// The store's key of an endpoint.
-pub(crate) fn key(endpoint: &SiteEndpoint) -> String {
+/// The store's key of an endpoint's entry.
+pub(crate) fn store_key(endpoint: &SiteEndpoint) -> String {
     format!("servers/{}", endpoint.id())
 }
