--- a/crates/daemon/tests/all/configuration.rs
+++ b/crates/daemon/tests/all/configuration.rs
@@ -1,7 +1,7 @@
 //! Configuration versions: active on all instances, never replaced by an older version, also without the
 //! platform.
 
-use teaselshunt_standin::answer;
+use teaselshunt_standin::generated_text;
 
 use crate::support::{Daemon, Fleet, streamed_text, until};
 
@@ -20,13 +20,13 @@
     for daemon in &daemons {
         until("the version is active", || async { version(&fleet, daemon).await == number }).await;
     }
-    let before = fleet.decode[0].streams();
+    let before = fleet.decode[0].streams_started();
     for i in 0..10 {
         let prompt = format!("Drained {i}");
         let response = fleet.completion(&daemons[i % 2], &prompt, true).send().await.unwrap();
-        assert_eq!(streamed_text(response).await, Some(answer(&prompt, 400)));
+        assert_eq!(streamed_text(response).await, Some(generated_text(&prompt, 400)));
     }
-    assert_eq!(fleet.decode[0].streams(), before);
+    assert_eq!(fleet.decode[0].streams_started(), before);
 }
 
 /// Guards against a return to an older version. A lagging replica of the configuration service answers with
@@ -39,7 +39,7 @@
     let old = fleet.configuration.to_string();
     let number = fleet.patch(|c| c["policy"]["stall_ms"] = 1234.into());
     until("the version is active", || async { version(&fleet, &first).await == number }).await;
-    fleet.platform.set_stale(Some(&old));
+    fleet.platform.set_stale_configuration(Some(&old));
     let calls = fleet.platform.calls();
     until("the replica has been polled", || async { fleet.platform.calls() > calls + 5 }).await;
     assert_eq!(version(&fleet, &first).await, number);
@@ -60,7 +60,7 @@
     let second = fleet.start_daemon(1).await;
     assert_eq!(version(&fleet, &second).await, number);
     let response = fleet.completion(&second, "In the dark", true).send().await.unwrap();
-    assert_eq!(streamed_text(response).await, Some(answer("In the dark", 400)));
+    assert_eq!(streamed_text(response).await, Some(generated_text("In the dark", 400)));
 }
 
 /// Guards against partial use of an invalid version. The version is refused as a whole with an audit line,
--- a/crates/daemon/tests/all/support.rs
+++ b/crates/daemon/tests/all/support.rs
@@ -81,7 +81,7 @@
     /// Starts two prefill engines, two decode engines, one service and the platform, and prepares the
     /// settings of `instances` instances. No instance is started yet.
     pub(crate) async fn start(instances: usize) -> Self {
-        Self::start_with(instances, EngineOptions::quick(Role::Decode)).await
+        Self::start_with(instances, EngineOptions::fast(Role::Decode)).await
     }
 
     /// Like [`Fleet::start`], with options for the decode engines.
@@ -89,7 +89,7 @@
         let mut prefill = Vec::new();
         let mut decode = Vec::new();
         for _ in 0..2 {
-            prefill.push(Engine::start(loopback(), EngineOptions::quick(Role::Prefill)).await.unwrap());
+            prefill.push(Engine::start(loopback(), EngineOptions::fast(Role::Prefill)).await.unwrap());
             decode.push(Engine::start(loopback(), decode_options.clone()).await.unwrap());
         }
         let service = Service::start(loopback()).await.unwrap();
@@ -238,7 +238,7 @@
 
     /// Ids of the requests that engines hold memory for.
     pub(crate) fn held_requests(&self) -> Vec<String> {
-        self.prefill.iter().chain(&self.decode).flat_map(Engine::held).collect()
+        self.prefill.iter().chain(&self.decode).flat_map(Engine::held_requests).collect()
     }
 }
 
