--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -60,10 +60,7 @@
 
     fn consider_valid(&mut self, configuration: Arc<Configuration>, text: Arc<str>) -> Option<Verdict> {
         if configuration.deployment != self.deployment {
-            let cause = format!(
-                "configuration is for deployment {:?}, not {:?}",
-                configuration.deployment, self.deployment
-            );
+            let cause = format!("it is for {:?}, not {:?}", configuration.deployment, self.deployment);
             return self.refuse(Some(configuration.version), cause);
         }
         if let Some((current, _)) = &self.current {
@@ -89,7 +86,7 @@
         if current == configuration {
             return Some(Verdict::Stale);
         }
-        let cause = "a different configuration with this version is active".to_owned();
+        let cause = "another content with this number is in force".to_owned();
         self.refuse(Some(configuration.version), cause)
     }
 
