--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -197,7 +197,7 @@
     std::thread::Builder::new().name("control".to_owned()).spawn(move || {
         let run = std::panic::AssertUnwindSafe(|| runtime.block_on(thread.run(receiver)));
         if std::panic::catch_unwind(run).is_err() {
-            crit!(log, "an invariant is broken; the process ends");
+            crit!(log, "invariant violated; the process exits");
             // The log line passes through a queue to another thread; the delay lets that thread write it.
             std::thread::sleep(Duration::from_millis(100));
             std::process::exit(EXIT_INVARIANT_BROKEN);
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -147,10 +147,10 @@
                 Ok(Tls { client, server }) => {
                     *self.client.lock().unwrap_or_else(PoisonError::into_inner) = client;
                     self.listener.set_server_config(Some(server));
-                    info!(self.log, "new keys are in use");
+                    info!(self.log, "new TLS keys loaded");
                     last = current;
                 }
-                Err(error) => warn!(self.log, "new keys cannot be used"; "error" => %error),
+                Err(error) => warn!(self.log, "cannot load the new TLS keys"; "error" => %error),
             }
         }
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -70,7 +70,7 @@
                 Err(error) => {
                     // One log line at the start of an outage instead of one for each call.
                     if failures == 0 {
-                        warn!(self.log, "the platform cannot be read"; "document" => ?self.document, "error" => %error);
+                        warn!(self.log, "cannot read a platform document"; "document" => ?self.document, "error" => %error);
                     }
                     failures += 1;
                     tokio::time::sleep(backoff(failures)).await;
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -177,7 +177,7 @@
         let handle = tokio::spawn(task);
         tokio::spawn(async move {
             if let Err(failure) = handle.await {
-                error!(log, "a part ended"; "part" => name, "failure" => %failure);
+                error!(log, "task failed"; "part" => name, "failure" => %failure);
                 std::process::exit(1);
             }
         });
@@ -193,7 +193,7 @@
         tokio::spawn(async move {
             loop {
                 if let Err(failure) = tokio::spawn(task()).await {
-                    warn!(log, "a part ended and is restarted"; "part" => name, "failure" => %failure);
+                    warn!(log, "task failed and is restarted"; "part" => name, "failure" => %failure);
                 }
                 tokio::time::sleep(RESTART_DELAY).await;
             }
--- a/crates/daemon/tests/all/peers.rs
+++ b/crates/daemon/tests/all/peers.rs
@@ -38,7 +38,7 @@
     let fleet = Fleet::start(2).await;
     let first = fleet.start_daemon(0).await;
     fleet.replace_keys();
-    until("the new keys are in use", || async { fleet.log(0).contains("new keys are in use") }).await;
+    until("the new keys are in use", || async { fleet.log(0).contains("new TLS keys loaded") }).await;
     let second = fleet.start_daemon(1).await;
     for daemon in [&first, &second] {
         until("both instances are alive to each other", || async { health(&fleet, daemon).await == "alive" })
--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -282,8 +282,8 @@
     /// Handles a restore of the store. Known revisions are void, and entries of endpoints that registered
     /// since the backup are missing until these endpoints write them again.
     fn handle_restore(&self, era: Era) {
-        warn!(self.node.log, "store went back"; "era" => era.number(), "before" => self.era.get().number(),
-            "revision" => self.revision.get());
+        warn!(self.node.log, "store restored from a backup"; "era" => era.number(),
+            "before" => self.era.get().number(), "revision" => self.revision.get());
         self.era.set(era);
         self.revision.set(None);
         self.lost_revision.set(None);
@@ -398,7 +398,7 @@
                 if let Some(id) = endpoint.filter(|_| withdrawn) {
                     self.changes.borrow_mut().record(revision, id);
                 }
-                warn!(self.node.log, "unreadable entry"; "key" => key, "cause" => cause, "withdrawn" => withdrawn);
+                warn!(self.node.log, "invalid store entry"; "key" => key, "cause" => cause, "withdrawn" => withdrawn);
             }
         }
     }
--- a/crates/forward/src/catalog/store_updates.rs
+++ b/crates/forward/src/catalog/store_updates.rs
@@ -54,7 +54,7 @@
             source => source,
         };
         if self.source.replace(source) != source {
-            info!(self.node.log, "news of the store"; "from" => source.text());
+            info!(self.node.log, "source of store updates changed"; "from" => source.text());
             self.wakeup.notify_one();
         }
     }
--- a/crates/forward/src/listeners.rs
+++ b/crates/forward/src/listeners.rs
@@ -78,8 +78,8 @@
     node.connections.set(node.connections.get() - 1);
     match result {
         Some(Ok(())) => {}
-        Some(Err(error)) => debug!(node.log, "caller's connection failed"; "error" => %error),
-        None => info!(node.log, "caller's connection closed"; "cause" => "its answer was not read"),
+        Some(Err(error)) => debug!(node.log, "caller connection failed"; "error" => %error),
+        None => info!(node.log, "caller connection closed"; "cause" => "response not read in time"),
     }
 }
 
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -45,7 +45,7 @@
     if !gives_orders(&node) {
         return;
     }
-    info!(node.log, "orders engines");
+    info!(node.log, "giving orders to engines");
     let mut ordered: OrderedStages = HashMap::new();
     let mut fencing_number = 0;
     let mut known = 0;
--- a/crates/forward/src/rates.rs
+++ b/crates/forward/src/rates.rs
@@ -130,7 +130,7 @@
     let recent = |last: Instant| now.duration_since(last) < WARNING_INTERVAL;
     if !node.rate_warned.get().is_some_and(recent) {
         node.rate_warned.set(Some(now));
-        warn!(node.log, "an endpoint names a rate that is no number"; "endpoint" => &*node.id_for_log(key));
+        warn!(node.log, "endpoint advertises an invalid rate limit"; "endpoint" => &*node.id_for_log(key));
     }
 }
 
--- a/crates/forward/src/supervisor.rs
+++ b/crates/forward/src/supervisor.rs
@@ -156,7 +156,7 @@
     let handle = tokio::task::spawn_local(task);
     tokio::task::spawn_local(async move {
         if let Err(failure) = handle.await {
-            error!(log, "a part ended"; "part" => name, "failure" => %failure);
+            error!(log, "task failed"; "part" => name, "failure" => %failure);
             std::process::exit(1);
         }
     });
