--- a/crates/bench/tests/all/found.rs
+++ b/crates/bench/tests/all/found.rs
@@ -58,7 +58,7 @@
 /// Requests reserve decode slots while their prefills wait. The endpoint begins to drain, and a frozen
 /// instance resumes with a long queue. The reserved slots were used more than 6 s later.
 #[test]
-fn slots_kept_at_an_endpoint_that_drains() {
+fn slots_reserved_at_a_draining_endpoint() {
     let faults = [(4_582, Fault::Freeze(13)), (18_111, Fault::Freeze(18)), (52_154, Fault::Drain(34))];
     assert_no_violations(true, 4_824_007_585_132_824_449, &faults);
 }
@@ -68,7 +68,7 @@
 /// process as another incarnation. The owner of the pool could not distinguish the work of the earlier
 /// incarnation from live work, and two engines held that work for ever.
 #[test]
-fn work_of_a_former_life_after_the_list_dropped_it() {
+fn orphans_of_an_incarnation_that_the_list_dropped() {
     assert_no_violations(
         true,
         5_858_092_552_767_959_581,
@@ -80,7 +80,7 @@
 /// No running instance knows their earlier incarnations, and so none could distinguish their old streams
 /// from live ones. A starting process must ask every engine for work of its own earlier incarnations.
 #[test]
-fn work_of_a_former_life_when_its_watchers_died_too() {
+fn orphans_of_an_incarnation_whose_monitors_were_killed_too() {
     let faults = [(1_981, Fault::Outage), (10_477, Fault::Kill(43)), (17_642, Fault::Kill(4))];
     assert_no_violations(true, 12_587_996_915_722_759_511, &faults);
     let faults = [
@@ -124,7 +124,7 @@
 /// report contains the earlier attempt, which is not the current one any more, and which was cancelled as
 /// an orphan. The next attempt held the memory of the engine for ever.
 #[test]
-fn stream_taken_up_while_its_engine_reports() {
+fn stream_resumed_while_its_engine_reports() {
     let faults = [
         (10_240, Fault::Cut(Side::Domain(5), Side::Domain(1))),
         (58_827, Fault::Cut(Side::Domain(6), Side::Domain(5))),
--- a/crates/bench/tests/all/keys.rs
+++ b/crates/bench/tests/all/keys.rs
@@ -115,7 +115,7 @@
 /// domain, where the old homes of the same keys are still running. An old home must detect that its grant
 /// lease has expired, otherwise the call runs a second time.
 #[test]
-fn homes_are_cut_off_with_an_old_list() {
+fn partitioned_homes_with_an_old_list() {
     assert_at_most_once("cut off", |s| {
         let (n, sides) = (s as usize, [Side::Platform, Side::Domain(1), Side::Domain(2), Side::Domain(3)]);
         let partitions = sides.into_iter().map(|side| (5_000, Fault::Cut(Side::Domain(0), side)));
@@ -141,7 +141,7 @@
 /// Its next incarnation grants keys and is killed. The following homes took the records that were handed
 /// over for complete, and bookings that the second incarnation had granted ran a second time.
 #[test]
-fn homes_hand_over_come_back_and_are_killed() {
+fn homes_restart_after_a_handover_and_are_killed() {
     assert_at_most_once("restarted after a shutdown", |s| {
         let n = s as usize;
         let restarts = (0..2).flat_map(|i| [(18_000, Fault::Stop(n + i)), (19_500, Fault::Start(n + i))]);
@@ -177,7 +177,7 @@
 /// without it, and did not ask the homes by these lists. Bookings that had run meanwhile, and whose callers
 /// retried, ran a second time.
 #[test]
-fn homes_return_that_missed_a_list() {
+fn homes_rejoin_that_missed_a_list() {
     assert_at_most_once("missed a list", |s| {
         let (n, sides) = (s as usize, [Side::Platform, Side::Domain(1), Side::Domain(2), Side::Domain(3)]);
         let partitions = sides.into_iter().map(|side| (10_000, Fault::Cut(Side::Domain(0), side)));
--- a/crates/core/tests/all/claims.rs
+++ b/crates/core/tests/all/claims.rs
@@ -137,7 +137,7 @@
 /// previous list; by the new one, another instance that was not asked may have been the home in between. The
 /// reply must not lead to a grant.
 #[test]
-fn an_answer_that_was_asked_for_by_a_former_list_grants_nothing() {
+fn a_reply_to_an_inquiry_by_an_earlier_list_grants_nothing() {
     let mut instance = pair();
     let inquires = |instance: &mut SingleInstance, number| {
         let claim = Message::Claim { key: key(number), request: holder(1), revision: 2, born: None };
@@ -215,7 +215,7 @@
 /// previous incarnation. A key that may be older than the restart must not be granted, or a booking that ran
 /// would run again.
 #[test]
-fn an_instance_that_starts_alone_grants_no_key_that_may_be_older() {
+fn the_only_instance_grants_no_key_that_may_predate_its_start() {
     let mut instance = SingleInstance::only_listed();
     instance.run_for(Duration::from_secs(20));
     assert!(refused_as_unknown(&instance.book(1)));
@@ -228,7 +228,7 @@
 /// A caller's clock is ahead. Its booking ran before the home crashed and restarted, although the key appears
 /// to have been created after the restart. If the key were granted again, the booking would run twice.
 #[test]
-fn a_key_that_a_clock_ahead_may_have_made_before_the_start_is_not_granted() {
+fn a_key_that_may_predate_the_start_by_clock_skew_is_not_granted() {
     let mut instance = SingleInstance::only_listed();
     let skew = instance.configuration.policy.skew_ms;
     let started = instance.unix_ms();
@@ -240,7 +240,7 @@
 /// caller that was told to retry after two seconds retried in vain for a quarter of an hour, so the refusal
 /// must not ask for a retry. While the home only cannot grant the key yet, the refusal must ask for a retry.
 #[test]
-fn a_caller_whose_key_will_never_be_told_is_not_told_to_come_back() {
+fn a_caller_is_asked_to_retry_only_if_its_key_can_be_granted_later() {
     let mut instance = SingleInstance::only_listed();
     instance.run_for(Duration::from_secs(20));
     assert_eq!(refusal(&instance.book(1)), Some(Refusal::new(ErrorKind::KeyUnknown)));
--- a/crates/core/tests/all/crashes.rs
+++ b/crates/core/tests/all/crashes.rs
@@ -113,7 +113,7 @@
 /// request by then and does not observe a failure of it, so the crash was attributed only to other requests
 /// at the engine.
 #[test]
-fn a_request_whose_caller_left_is_accused_of_the_crash() {
+fn a_crash_is_attributed_to_a_request_that_was_cancelled_just_before() {
     let mut instance = SingleInstance::start();
     let begin = |instance: &mut SingleInstance, ticket, fingerprint| {
         let effects = instance.ask(ticket, fingerprint);
--- a/crates/core/tests/all/limits.rs
+++ b/crates/core/tests/all/limits.rs
@@ -40,7 +40,7 @@
 /// All callers of a team use one instance. The other members are alive and have no spending of the team to
 /// report. The team must get its whole limit and not the share of one instance.
 #[test]
-fn a_team_gets_its_whole_limit_through_one_instance() {
+fn a_team_that_uses_one_instance_gets_its_full_limit() {
     let mut instance = pair();
     pass_with_heartbeats(&mut instance, 6);
     let limit = TeamLimit { unit: TeamUnit::Requests, rate: 1, burst: 10, plain: 0 };
--- a/crates/core/tests/all/steps.rs
+++ b/crates/core/tests/all/steps.rs
@@ -10,7 +10,7 @@
 /// A prefill times out and the request is sent to another engine. Then the first engine answers after all. If
 /// the late answer were used, the caller would get output of two attempts, so it must have no effect.
 #[test]
-fn a_late_answer_of_an_earlier_try_changes_nothing() {
+fn a_late_response_to_an_earlier_attempt_is_ignored() {
     let mut instance = SingleInstance::start();
     let first = instance.arrive(1);
     let effects = instance.step(Event::Failed { attempt: first, failure: StepFailure::TimedOut, offset: 0 });
@@ -26,7 +26,7 @@
 /// A decode slot is reserved while the prefill runs, and an operator drains its endpoint meanwhile. The
 /// import would be new work for a draining endpoint and must go to another one.
 #[test]
-fn a_slot_kept_at_an_endpoint_that_drains_is_not_used() {
+fn a_slot_reserved_at_a_draining_endpoint_is_not_used() {
     let mut instance = SingleInstance::start();
     let (attempt, other) = (instance.arrive(1), instance.arrive(2));
     let decodes: Vec<String> = (1..=6).map(|i| format!("fee-writer-decode-{i}")).collect();
@@ -73,7 +73,7 @@
 /// One attempt timed out, so it may have run; the later attempts were never sent. The request must not be
 /// refused as "not run".
 #[test]
-fn one_try_that_may_have_run_is_not_forgotten() {
+fn a_request_with_an_attempt_that_may_have_run_is_not_refused_as_not_run() {
     let mut instance = SingleInstance::start();
     let mut attempt = instance.arrive(1);
     let mut failure = StepFailure::TimedOut;
--- a/crates/daemon/tests/all/configuration.rs
+++ b/crates/daemon/tests/all/configuration.rs
@@ -13,7 +13,7 @@
 /// Every instance applies the version and sends new work to other endpoints. Work that already runs at the
 /// endpoint completes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_endpoint_gets_nothing_new() {
+async fn a_draining_endpoint_gets_no_new_work() {
     let mut fleet = Fleet::start(2).await;
     let daemons = fleet.start_daemons().await;
     let number = fleet.patch(|c| c["endpoints"][2]["state"] = "draining".into());
--- a/crates/daemon/tests/all/keys.rs
+++ b/crates/daemon/tests/all/keys.rs
@@ -28,7 +28,7 @@
 /// The address of a service has no listener. A booking cannot be sent and is refused as not run, with a
 /// `Retry-After` delay.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_out_of_reach_means_not_run() {
+async fn a_booking_for_an_unreachable_service_is_refused_as_not_run() {
     let mut fleet = Fleet::start(1).await;
     // Port 9 on loopback has no listener.
     fleet.patch(|c| c["endpoints"][4]["address"] = "127.0.0.1:9".into());
@@ -64,7 +64,7 @@
 /// Retries a booking with an idempotency key until it is answered, and returns the booking's number. The
 /// caller retries while the key is in use, and while the key's home does not answer for longer than an
 /// instance waits, which happens to any instance for a moment on a busy machine.
-/// `a_caller_refused_for_a_silent_home_gets_its_answer_later` causes the second case. Both refusals must
+/// `a_late_grant_to_an_ended_request_does_not_block_the_retry` causes the second case. Both refusals must
 /// state the outcome "unknown", and no other response than the booking's may end the retries.
 async fn retry_until_answered(fleet: &Fleet, daemon: &Daemon, body: &str, key: &str) -> Value {
     for _ in 0..600 {
@@ -131,7 +131,7 @@
 /// its home at one of them gets no grant in time. The booking is refused with the error that the key's
 /// outcome is unknown, and has not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_whose_home_is_silent_is_refused_before_it_runs() {
+async fn a_booking_whose_home_is_unresponsive_is_refused_before_it_runs() {
     let fleet = Fleet::start(3).await;
     let daemons = fleet.start_daemons().await;
     fleet.wait_until_keys_granted(&daemons[0]).await;
@@ -160,7 +160,7 @@
 /// request has ended. This grant must neither keep the key from the caller nor run the booking a second time
 /// beside the retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_refused_for_a_silent_home_gets_its_answer_later() {
+async fn a_late_grant_to_an_ended_request_does_not_block_the_retry() {
     let fleet = Fleet::start(3).await;
     let daemons = fleet.start_daemons().await;
     fleet.wait_until_keys_granted(&daemons[0]).await;
--- a/crates/daemon/tests/all/main.rs
+++ b/crates/daemon/tests/all/main.rs
@@ -11,7 +11,7 @@
 mod keys;
 mod path;
 mod peers;
-mod silence;
+mod stalled_streams;
 mod stop;
 mod support;
 mod teams;
--- a/crates/daemon/tests/all/peers.rs
+++ b/crates/daemon/tests/all/peers.rs
@@ -15,7 +15,7 @@
 /// messages were accepted, it could grant idempotency keys and publish configurations. The instance must
 /// treat it as dead although its packets arrive.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stranger_with_a_listed_name_is_not_believed() {
+async fn a_peer_with_a_certificate_of_another_authority_is_not_trusted() {
     let mut fleet = Fleet::start(2).await;
     let other_authority = tempfile::TempDir::new().unwrap();
     generate_keys(other_authority.path(), &["entry-1".to_owned()]).unwrap();
@@ -34,7 +34,7 @@
 /// New keys replace the old key files while an instance runs. The instance applies them without a restart,
 /// and an instance that starts with only the new keys connects to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_are_renewed_without_a_stop() {
+async fn tls_keys_are_replaced_without_a_restart() {
     let fleet = Fleet::start(2).await;
     let first = fleet.start_daemon(0).await;
     fleet.replace_keys();
--- a/crates/daemon/tests/all/stop.rs
+++ b/crates/daemon/tests/all/stop.rs
@@ -15,7 +15,7 @@
 /// told to stop. The instance refuses new requests as not run, continues the stream to its last token, and
 /// only then exits, with success.
 #[tokio::test(flavor = "multi_thread")]
-async fn planned_stop_cuts_off_no_stream() {
+async fn graceful_shutdown_truncates_no_stream() {
     let fleet = Fleet::start_with(2, slow()).await;
     let mut daemon = fleet.start_daemon(0).await;
     let other = fleet.start_daemon(1).await;
@@ -38,7 +38,7 @@
 /// this and would hold a decode slot until the last token and beyond. The router must cancel the attempt at
 /// the engine immediately.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_goes_away_leaves_no_memory_held() {
+async fn a_disconnected_caller_leaves_no_slot_held() {
     let fleet = Fleet::start_with(1, EngineOptions { token_gap: Duration::from_hours(1), ..slow() }).await;
     let daemon = fleet.start_daemon(0).await;
     // The engine generates no second token for an hour, so only a cancel can free the slot.
@@ -78,7 +78,7 @@
 /// before the list changes. Its engine still holds work of the previous incarnation, which the new process
 /// recognizes by the incarnation and cancels.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_instance_cancels_the_work_of_its_former_life() {
+async fn a_restarted_instance_cancels_orphans_of_its_previous_incarnation() {
     let fleet = Fleet::start_with(1, EngineOptions { token_gap: Duration::from_hours(1), ..slow() }).await;
     let victim = fleet.start_daemon(0).await;
     let request = fleet.completion(&victim, "Orphan", true);
--- a/crates/routing/tests/all/budget.rs
+++ b/crates/routing/tests/all/budget.rs
@@ -79,7 +79,7 @@
 /// stay within what the deployment allows, however many they are. With a reserve of a fixed size each, six
 /// hundred instances spent twice as much.
 #[test]
-fn reserves_of_hundreds_together_keep_the_budget() {
+fn reserves_of_hundreds_of_instances_stay_within_the_budget() {
     let mut rng = SmallRng::seed_from_u64(3);
     for (instances, slack) in
         [(9, 58.0), (58, 156.0), (195, 430.0), (584, 640.0), (1168, 640.0), (1168, 1280.0)]
--- a/crates/routing/tests/all/changes.rs
+++ b/crates/routing/tests/all/changes.rs
@@ -10,7 +10,7 @@
     /// A peer that knows the list as of some revision and is sent the entries that changed since has the
     /// current list. A change that was left out would stay unknown, and work would go to an endpoint that has
     /// left.
-    fn what_changed_since_makes_the_list_whole(writes: Vec<(u8, u8)>, from: usize) -> bool {
+    fn changes_since_a_revision_complete_the_list(writes: Vec<(u8, u8)>, from: usize) -> bool {
         let mut changes = RecentChanges::default();
         changes.start_at(0);
         let mut lists = vec![BTreeMap::<Arc<str>, u8>::new()];
--- a/crates/routing/tests/all/endpoints.rs
+++ b/crates/routing/tests/all/endpoints.rs
@@ -193,7 +193,7 @@
 /// go elsewhere, and the endpoint is reported to other instances. Some seconds later it gets another attempt.
 /// Two failures in a row mean nothing.
 #[test]
-fn an_endpoint_that_fails_fast_does_not_draw_callers() {
+fn an_endpoint_that_fails_fast_does_not_attract_requests() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(endpoint("fails", "north"));
     let key = endpoints.choose(now, need(&[]), &mut rng).expect("one");
@@ -213,7 +213,7 @@
 /// no use. If the later entry was an old one that was written late, the first response shows it, and the
 /// other incarnation is used again.
 #[test]
-fn a_former_start_at_the_same_address_is_passed_over() {
+fn a_previous_incarnation_at_the_same_address_is_not_chosen() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
     let former = endpoint("former", "north");
     endpoints.upsert(former.clone());
@@ -232,7 +232,7 @@
 /// a second in one recorded day. One refusal keeps a decode engine from being asked for a moment only.
 /// Several in a row do so for longer, until the engine takes work again.
 #[test]
-fn an_engine_that_keeps_refusing_is_asked_less_and_less() {
+fn consecutive_refusals_of_an_engine_lengthen_its_backoff() {
     let (mut endpoints, now, mut rng) = (Endpoints::default(), Instant::now(), rand::rng());
     endpoints.upsert(Endpoint { stage: Some(Stage::Decode), ..endpoint("a", "north") });
     let decode = Need { stage: Some(Stage::Decode), ..need(&[]) };
--- a/crates/routing/tests/all/ledger.rs
+++ b/crates/routing/tests/all/ledger.rs
@@ -203,7 +203,7 @@
 /// prefilled in time. When the engines have recovered and are idle, prompts must be sent: refused ones give
 /// no results, and the instance would refuse every generation for good.
 #[test]
-fn a_bad_pace_does_not_forbid_idle_engines() {
+fn a_high_prefill_estimate_does_not_block_idle_engines() {
     let mut estimate = PrefillEstimate::default();
     for _ in 0..60 {
         estimate.learn(100, Duration::from_secs(1));
--- a/crates/routing/tests/all/local_prefill.rs
+++ b/crates/routing/tests/all/local_prefill.rs
@@ -102,7 +102,7 @@
 /// 1.1 s, long before callers leave. The worst case is tested, in which all streams break at the same moment;
 /// streams of an unreachable engine break one by one.
 #[test]
-fn streams_of_a_crashed_engine_are_read_one_after_the_other() {
+fn streams_of_a_crashed_engine_are_prefilled_one_at_a_time() {
     let (mut unlimited, mut limited) = (0, 0);
     for seed in 0..SEEDS {
         unlimited += play(seed, false).0;
--- a/crates/routing/tests/all/peers.rs
+++ b/crates/routing/tests/all/peers.rs
@@ -9,7 +9,7 @@
 /// other. Both must remove the dead one. Otherwise each learns of it again from the other, and sends to it
 /// for ever.
 #[test]
-fn a_dead_peer_is_not_handed_round() {
+fn a_removed_peer_is_not_learned_again_from_other_instances() {
     let start = Instant::now();
     let mut instances = [Peers::new(0), Peers::new(0)];
     for instance in &mut instances {
@@ -36,7 +36,7 @@
 /// Another instance names a peer before the peer is observed. The peer is known, so that an update can be
 /// sent to it, and is removed if it never sends one, without having been named to others.
 #[test]
-fn a_named_peer_must_be_heard_to_stay() {
+fn a_reported_peer_that_is_never_observed_is_removed() {
     let (mut peers, start) = (Peers::new(0), Instant::now());
     peers.add_reported(start, 1);
     assert!(peers.contains(1));
@@ -109,7 +109,7 @@
 /// one failure timeout for all sizes, six hundred of them removed one another by turns, and each took itself
 /// for a store reader.
 #[test]
-fn a_peer_that_waits_for_its_turn_is_not_taken_for_dead() {
+fn a_peer_with_a_long_gossip_interval_stays_responsive() {
     let (start, mut peers) = (Instant::now(), Peers::new(0));
     for peer in 0..1_200 {
         peers.observe(start, peer, peer % 6, Duration::ZERO);
--- a/crates/routing/tests/all/retry_detection.rs
+++ b/crates/routing/tests/all/retry_detection.rs
@@ -10,7 +10,7 @@
 /// which could have been on time, would be refused and become late. If new requests were taken for retries,
 /// they would wait behind others for nothing.
 #[test]
-fn callers_who_come_back_are_told_from_new_ones() {
+fn retries_are_distinguished_from_new_requests() {
     let (now, route) = (Instant::now(), Arc::from("r"));
     let mut detector = RetryDetector::default();
     for new in [13_000, 14_000, 12_000, 13_500] {
--- a/crates/routing/tests/all/snapshot_sources.rs
+++ b/crates/routing/tests/all/snapshot_sources.rs
@@ -163,7 +163,7 @@
 /// A whole deployment starts. A few instances of each domain read the list. Their number must not grow with
 /// that of the instances, and the time until all have the list must hardly grow.
 #[test]
-fn a_start_of_all_reads_the_store_few_times() {
+fn store_reads_at_deployment_start_do_not_grow_with_instances() {
     for count in [75, 300] {
         let mut fleet = Fleet::new(count, 6);
         let rounds = fleet.play(0);
--- a/crates/routing/tests/all/stages.rs
+++ b/crates/routing/tests/all/stages.rs
@@ -75,7 +75,7 @@
 /// engine and each change, in four billion steps. The instance that gives the orders had no time for anything
 /// else, and orders reached engines while callers used them.
 #[test]
-fn a_plan_for_thousands_of_engines_ends() {
+fn stage_planning_scales_to_thousands_of_engines() {
     let engines = engines(2_000, 4_000);
     let changes = plan_stage_changes(engines.iter(), |_| None, false, 25_992);
     let kept = 2_000 - changes.len();
--- a/crates/teams/tests/all/keys.rs
+++ b/crates/teams/tests/all/keys.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn digests_tell_keys_apart() {
+fn digests_distinguish_keys() {
     let digest = |text: &str| ApiKey::new(text.to_owned()).digest();
     assert_eq!(digest(TEXT), digest(TEXT));
     assert_ne!(digest(TEXT), digest("k7b2ex5wa5xwyhks8nbl"));
