--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,8 +1,8 @@
 //! Claims for idempotency keys, at the instance that received the request from its caller.
 //!
 //! No request with a key is sent to an endpoint before the key's home has granted the key. If the home does
-//! not answer, the caller is told "unknown" and not "not run", because an earlier request with the key may
-//! have run through another instance.
+//! not answer, the request is refused with the outcome "unknown" and not "not run", because an earlier
+//! request with the key may have run through another instance.
 
 use std::time::{Duration, Instant};
 
--- a/crates/core/tests/all/claims.rs
+++ b/crates/core/tests/all/claims.rs
@@ -89,7 +89,7 @@
     sent.collect()
 }
 
-/// Whether a caller is told that the outcome of its key is unknown.
+/// Whether a request is refused because the outcome of its key is unknown.
 fn refused_as_unknown(effects: &[Effect]) -> bool {
     refusal(effects).is_some_and(|refusal| refusal.kind == ErrorKind::KeyUnknown)
 }
@@ -106,7 +106,7 @@
     IdempotencyKey::of("", &format!("key {number}"))
 }
 
-/// Outcome of a request that the other instance is told.
+/// Outcome of a request that is sent to the other instance.
 fn settled(effects: &[Effect]) -> Option<ClaimOutcome> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::Settle { outcome, .. }, .. } => Some(outcome.clone()),
@@ -115,10 +115,10 @@
 }
 
 /// A home does not answer, and the caller is refused. The home then reads the claims in its socket, which the
-/// requesting instance repeated meanwhile; streams can be reordered. It grants the first claim, is told that
-/// the grant is not needed and drops it, then reads another claim of the same request and grants it again.
-/// Every retry is refused as "in use" while that grant exists, so every grant of an ended request must be
-/// answered and not only the first one.
+/// requesting instance repeated meanwhile; streams can be reordered. It grants the first claim, receives the
+/// message that the grant is not needed and drops the grant, then reads another claim of the same request and
+/// grants it again. Every retry is refused as "in use" while that grant exists, so every grant of
+/// an ended request must be answered and not only the first one.
 #[test]
 fn every_grant_of_an_ended_request_is_settled() {
     let mut instance = pair();
@@ -237,7 +237,7 @@
 }
 
 /// A key may have been granted by a previous incarnation of its home, and its outcome will never be known. A
-/// caller that was told to retry after two seconds retried in vain for a quarter of an hour, so the refusal
+/// caller that was asked to retry after two seconds retried in vain for a quarter of an hour, so the refusal
 /// must not ask for a retry. While the home only cannot grant the key yet, the refusal must ask for a retry.
 #[test]
 fn a_caller_is_asked_to_retry_only_if_its_key_can_be_granted_later() {
--- a/crates/core/tests/all/quarantine.rs
+++ b/crates/core/tests/all/quarantine.rs
@@ -1,9 +1,9 @@
-//! Requests under which endpoints crash: to which requests crashes are attributed, for how long, and what
-//! peers are told.
+//! Requests under which endpoints crash: to which requests crashes are attributed, for how long, and what is
+//! reported to peers.
 //!
 //! The pattern is a caller that sends the same request about every second, under new ids and through any
 //! instance. The limits follow from the goal: three endpoints may crash before an instance can detect the
-//! cause, and none after the instance was told.
+//! cause, and none after the instance has received a report of it from a peer.
 
 use std::time::{Duration, Instant};
 
--- a/crates/core/tests/all/steps.rs
+++ b/crates/core/tests/all/steps.rs
@@ -45,8 +45,8 @@
     expect_import_at("fee-writer-decode-5", &mut instance, other);
 }
 
-/// No endpoint accepts a connection. Nothing of the request was ever sent in any attempt, so the caller must
-/// be told "not run" with a `Retry-After` delay.
+/// No endpoint accepts a connection. Nothing of the request was ever sent in any attempt, so the request must
+/// be refused as "not run" with a `Retry-After` delay.
 #[test]
 fn a_request_that_was_never_sent_is_not_run() {
     let mut instance = SingleInstance::start();
--- a/crates/daemon/tests/all/stop.rs
+++ b/crates/daemon/tests/all/stop.rs
@@ -11,9 +11,9 @@
     EngineOptions { token_gap: Duration::from_millis(40), ..EngineOptions::fast(Role::Decode) }
 }
 
-/// Guards against truncated responses at a graceful shutdown. A caller reads a stream when its instance is
-/// told to stop. The instance refuses new requests as not run, continues the stream to its last token, and
-/// only then exits, with success.
+/// Guards against truncated responses at a graceful shutdown. A caller reads a stream when its instance
+/// receives SIGTERM. The instance refuses new requests as not run, continues the stream to its last token,
+/// and only then exits, with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown_truncates_no_stream() {
     let fleet = Fleet::start_with(2, slow()).await;
--- a/crates/routing/src/removed.rs
+++ b/crates/routing/src/removed.rs
@@ -1,4 +1,4 @@
-//! Incarnations of endpoints that were removed, by which an old entry that is listed again is told from a new
+//! Incarnations of endpoints that were removed. They distinguish an old entry that is listed again from a new
 //! incarnation.
 
 use std::collections::{HashMap, VecDeque};
--- a/crates/routing/src/wait_policy.rs
+++ b/crates/routing/src/wait_policy.rs
@@ -23,7 +23,7 @@
 const PREFILL_FRACTION: f64 = 0.7;
 /// The same for a late request, which must not lengthen a queue of prompts that can be on time.
 const PREFILL_FRACTION_LATE: f64 = 0.35;
-/// Fraction of a caller's remaining time after which it is told to retry if there is no capacity. The caller
+/// Fraction of a caller's remaining time after which it is asked to retry if there is no capacity. The caller
 /// misses its goal whatever the delay is, so the delay only has to end when there is capacity: bursts last
 /// some seconds, and a caller that retries within a burst is refused again. Callers by themselves wait a
 /// third of their time at most.
@@ -112,7 +112,7 @@
 }
 
 /// Delay after which a caller that is refused for lack of capacity, with `left` of its time remaining, is
-/// told to retry.
+/// asked to retry.
 pub fn retry_delay(left: Duration) -> Duration {
     left.mul_f64(RETRY_DELAY_FRACTION).min(RETRY_DELAY_MAX)
 }
