--- a/crates/forward/src/accept.rs
+++ b/crates/forward/src/accept.rs
@@ -17,7 +17,7 @@
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                warn!(node.log, "cannot accept a connection"; "error" => %error);
+                warn!(node.log, "accept"; "error" => %error);
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
