--- a/crates/core/tests/all/claims.rs
+++ b/crates/core/tests/all/claims.rs
@@ -89,7 +89,7 @@
     sent.collect()
 }
 
-/// Whether a caller is told that the outcome of its key is unknown.
+/// Whether a request is refused because the outcome of its key is unknown.
 fn refused_as_unknown(effects: &[Effect]) -> bool {
     refusal(effects).is_some_and(|refusal| refusal.kind == ErrorKind::KeyUnknown)
 }
@@ -106,7 +106,7 @@
     IdempotencyKey::of("", &format!("key {number}"))
 }
 
-/// Outcome of a request that the other instance is told.
+/// Outcome of a request that is sent to the other instance.
 fn settled(effects: &[Effect]) -> Option<ClaimOutcome> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::Settle { outcome, .. }, .. } => Some(outcome.clone()),
@@ -115,10 +115,10 @@
 }
 
 /// A home does not answer, and the caller is refused. The home then reads the claims in its socket, which the
-/// requesting instance repeated meanwhile; streams can be reordered. It grants the first claim, is told that
-/// the grant is not needed and drops it, then reads another claim of the same request and grants it again.
-/// Every retry is refused as "in use" while that grant exists, so every grant of an ended request must be
-/// answered and not only the first one.
+/// requesting instance repeated meanwhile; streams can be reordered. It grants the first claim, receives the
+/// message that the grant is not needed and drops the grant, then reads another claim of the same request and
+/// grants it again. Every retry is refused as "in use" while that grant exists, so every grant of
+/// an ended request must be answered and not only the first one.
 #[test]
 fn every_grant_of_an_ended_request_is_settled() {
     let mut instance = pair();
@@ -137,7 +137,7 @@
 /// previous list; by the new one, another instance that was not asked may have been the home in between. The
 /// reply must not lead to a grant.
 #[test]
-fn an_answer_that_was_asked_for_by_a_former_list_grants_nothing() {
+fn a_reply_to_an_inquiry_by_an_earlier_list_grants_nothing() {
     let mut instance = pair();
     let inquires = |instance: &mut SingleInstance, number| {
         let claim = Message::Claim { key: key(number), request: holder(1), revision: 2, born: None };
@@ -215,7 +215,7 @@
 /// previous incarnation. A key that may be older than the restart must not be granted, or a booking that ran
 /// would run again.
 #[test]
-fn an_instance_that_starts_alone_grants_no_key_that_may_be_older() {
+fn the_only_instance_grants_no_key_that_may_predate_its_start() {
     let mut instance = SingleInstance::only_listed();
     instance.run_for(Duration::from_secs(20));
     assert!(refused_as_unknown(&instance.book(1)));
@@ -228,7 +228,7 @@
 /// A caller's clock is ahead. Its booking ran before the home crashed and restarted, although the key appears
 /// to have been created after the restart. If the key were granted again, the booking would run twice.
 #[test]
-fn a_key_that_a_clock_ahead_may_have_made_before_the_start_is_not_granted() {
+fn a_key_that_may_predate_the_start_by_clock_skew_is_not_granted() {
     let mut instance = SingleInstance::only_listed();
     let skew = instance.configuration.policy.skew_ms;
     let started = instance.unix_ms();
@@ -237,10 +237,10 @@
 }
 
 /// A key may have been granted by a previous incarnation of its home, and its outcome will never be known. A
-/// caller that was told to retry after two seconds retried in vain for a quarter of an hour, so the refusal
+/// caller that was asked to retry after two seconds retried in vain for a quarter of an hour, so the refusal
 /// must not ask for a retry. While the home only cannot grant the key yet, the refusal must ask for a retry.
 #[test]
-fn a_caller_whose_key_will_never_be_told_is_not_told_to_come_back() {
+fn a_caller_is_asked_to_retry_only_if_its_key_can_be_granted_later() {
     let mut instance = SingleInstance::only_listed();
     instance.run_for(Duration::from_secs(20));
     assert_eq!(refusal(&instance.book(1)), Some(Refusal::new(ErrorKind::KeyUnknown)));
