--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -25,8 +25,9 @@
 /// Maximum time between a failed request and a disconnect of another caller for that caller's request to
 /// count as present. An engine stops a cancelled request within this time.
 const PRESENCE_WINDOW: Duration = Duration::from_millis(500);
-/// Minimum time between two crashes of an endpoint, in milliseconds. Instances that observe the same crash
-/// name it by the same period of this length, except for crashes at the border of two periods.
+/// Minimum time between two crashes of an endpoint, in milliseconds. Time is divided into periods of this
+/// length, and the period of a crash identifies the endpoint's incarnation. Instances that observe the same
+/// crash therefore agree on the incarnation, except for crashes at the border of two periods.
 const RESTART_MIN_MS: u64 = 5_000;
 /// Time between two updates with recent crashes. One update is sufficient; the repetitions replace lost
 /// messages.
@@ -115,7 +116,7 @@
         EndpointIncarnation(xxh3_64_with_seed(&endpoint.0.to_le_bytes(), period))
     }
 
-    /// Refuses the waiting requests with a content that is in quarantine from now on.
+    /// Refuses the waiting requests with this fingerprint, which is in quarantine from now on.
     fn refuse_quarantined(&mut self, now: Instant, fingerprint: Fingerprint, out: &mut Vec<Effect>) {
         out.push(Effect::Audit(Audit::Quarantined { request: fingerprint }));
         let waits = |r: &crate::requests::Request| r.phase == Phase::Waiting && r.fingerprint == fingerprint;
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -71,7 +71,7 @@
     /// Whether the endpoint gets no new work, because operators drain or removed it or because it is shutting
     /// down.
     pub leaving: bool,
-    /// Whether the endpoint is paused after failures.
+    /// Whether the endpoint is paused after failures, or does not answer polls of its load.
     pub paused: bool,
 }
 
@@ -477,8 +477,8 @@
     /// Records a failed step. Returns whether this failure paused the endpoint.
     ///
     /// Without the pause, every request would detect a failed endpoint by its own timeout, and callers would
-    /// see a series of slow responses. The pause is short and ends by itself, so that a wrong one costs
-    /// little.
+    /// see a series of slow responses. The pause is short and ends by itself, so that an unnecessary pause
+    /// costs little.
     pub(crate) fn observe_failure(&mut self, now: Instant, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
         entry.consecutive_failures += 1;
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -45,9 +45,9 @@
     NotReady,
     /// The instance is shutting down gracefully.
     Stopping,
-    /// No suitable slot is expected to become free within the wait that the class allows.
+    /// No suitable slot became free, or is expected to become free, within the wait that the class allows.
     Overloaded,
-    /// No endpoint that may serve the request is reachable.
+    /// No endpoint that may serve the request takes new work, or no endpoint started any attempt.
     NoEndpoint,
     /// Endpoints crash under the request; this applies to all callers that send it.
     Quarantined,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -42,14 +42,14 @@
     Advanced {
         /// The attempt.
         attempt: AttemptId,
-        /// Tokens passed on so far, over all attempts.
+        /// Tokens passed to the caller so far, over all attempts.
         offset: u32,
     },
     /// The last token has been passed to the caller.
     Finished {
         /// The attempt.
         attempt: AttemptId,
-        /// Tokens passed on, over all attempts.
+        /// Tokens passed to the caller, over all attempts.
         offset: u32,
         /// The response, if it is small enough to be stored for its idempotency key.
         stored: Option<StoredResponse>,
@@ -206,7 +206,7 @@
     }
 }
 
-/// Load reported by an engine itself; it lags.
+/// Load as an engine itself reports it; the report lags behind the engine's state.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
     /// Requests that the engine works on or holds memory for.
@@ -322,7 +322,7 @@
         /// Id of the request.
         request: RequestId,
     },
-    /// Run a prefill of the prompt and of the output that was passed on already.
+    /// Run a prefill of the prompt and of the output that was passed to the caller already.
     Prefill {
         /// The caller.
         ticket: Ticket,
--- a/crates/core/src/failures.rs
+++ b/crates/core/src/failures.rs
@@ -98,15 +98,15 @@
         self.requeue_or_refuse(now, key, failure, out);
     }
 
-    /// Ends an attempt that may have run.
+    /// Returns a request whose last attempt may have run to the waiting phase.
     pub(crate) fn return_to_waiting(&mut self, key: RequestKey) {
         let request = self.requests.get_mut(key);
         request.phase = Phase::Waiting;
         request.maybe_reached_endpoint = true;
     }
 
-    /// Imports the KV cache at another decode engine. The failed engine did not start, so the cache is still
-    /// valid.
+    /// Imports the KV cache at another decode engine. The failed engine did not start the import, so the
+    /// cache is still valid.
     pub(crate) fn import_elsewhere(
         &mut self,
         now: Instant,
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -89,8 +89,8 @@
         Refusal::retryable(ErrorKind::Overloaded, wait)
     }
 
-    /// Refuses requests for which the new configuration has no endpoints, instead of at the end of their
-    /// wait.
+    /// Refuses waiting requests for which the new configuration has no endpoints. They would otherwise be
+    /// refused only at the end of their wait.
     pub(crate) fn refuse_unservable(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let waiting =
             self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting && !self.has_endpoints(now, r));
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,8 +1,8 @@
 //! Teams: their API keys, and the limits on what each team may request from all instances together.
 //!
 //! The accounts are those of the crate `teaselshunt-teams`. This module feeds them with the spending reports
-//! of members and with the health of members. Health comes from the membership: heartbeats go to a few
-//! neighbours only, so that a missing heartbeat alone is no evidence.
+//! of members and with the health of members. Health comes from the membership: an instance receives
+//! heartbeats from a few neighbours only, so that a member from which it receives nothing may well be alive.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -42,8 +42,8 @@
     pub rate: u32,
     /// Maximum number of units at once.
     pub burst: u32,
-    /// Units that may be admitted now, as estimated by this instance; negative while too many admitted units
-    /// are compensated.
+    /// Units that may be admitted now, as estimated by this instance; negative while the refill makes up for
+    /// admissions beyond the limit.
     pub level: i64,
     /// Units that this instance has admitted since its start.
     pub admitted: i64,
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -87,7 +87,7 @@
     pub(crate) revision: u64,
     /// When its last heartbeat or echo was received.
     pub(crate) last_received: Option<Instant>,
-    /// When the last heartbeat was sent that the member echoed, and in whose echo it reported `revision`. In
+    /// When the last heartbeat that the member echoed was sent. The echo reported the member's `revision`. In
     /// contrast to `last_received`, this time does not advance when a process resumes running after a freeze
     /// and reads old echoes from its socket buffers.
     last_echoed: Option<Instant>,
@@ -123,8 +123,8 @@
     pub(crate) list: Option<InstanceList>,
     /// The earliest known use of the current list by any member.
     list_used_since: Option<Instant>,
-    /// The earliest known use of a previous list since which all lists have been in use here. `None` if that
-    /// list is the current one.
+    /// Time since which every list that was in use anywhere was also in use here, if that time precedes the
+    /// current list; `None` if it is `list_used_since`.
     lists_known_since: Option<Instant>,
     pub(crate) previous_lists: VecDeque<PreviousList>,
     others: BTreeMap<InstanceId, Member>,
@@ -300,7 +300,7 @@
     }
 
     /// Instances that, as far as known here, may have been the home of a key before the current list, each
-    /// with the time at which a list without it as home replaced its last one.
+    /// with the time at which the last list that made it the home was replaced.
     pub(crate) fn previous_homes(&self, key: IdempotencyKey) -> BTreeMap<InstanceId, Instant> {
         // Lists are ordered by time, so the last time of each home is kept.
         self.previous_lists
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -97,7 +97,8 @@
         /// Whether the sender knows all lists by which the key can have been granted.
         #[serde(rename = "complete")]
         lists_known: bool,
-        /// Homes of the key by those lists that may have granted the key, without the sender.
+        /// Instances other than the sender that were homes of the key by these lists and may have granted the
+        /// key.
         homes: Vec<InstanceId>,
     },
     /// Asks the owner of a pool for a slot pair. Repeating the message is harmless.
--- a/crates/core/src/reservations.rs
+++ b/crates/core/src/reservations.rs
@@ -26,7 +26,8 @@
 pub(crate) const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 /// Factor on the estimated time to the first token.
 const LEAD_TIME_MARGIN: f64 = 1.25;
-/// A request whose stream broke off counts as on time if it gets new slots within this time.
+/// A request whose stream broke off counts as on time if it gets new slots within this time. For as long, an
+/// owner that was unresponsive counts as unresponsive recently.
 const RESTART_WINDOW: Duration = Duration::from_secs(10);
 
 impl Instance {
@@ -79,7 +80,8 @@
         (token_time * prompt_tokens + delay).mul_f64(LEAD_TIME_MARGIN)
     }
 
-    /// Repeats, moves or falls back from reservations that wait for an owner.
+    /// Reviews reservations that wait for an owner: requests them again, moves them to a new owner, or falls
+    /// back to endpoints that this instance chooses itself.
     pub(crate) fn review_reservations(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let waiting = self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting);
         let pending: Vec<(RequestKey, PendingReservation)> =
@@ -104,7 +106,8 @@
         PoolId::of(&self.requests.get(key).pool)
     }
 
-    /// Handles an unresponsive owner: this instance chooses endpoints itself, by its own use and reports.
+    /// Withdraws a reservation that its owner cannot serve: this instance chooses endpoints itself, by its
+    /// own use and reports.
     fn fall_back(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         self.withdraw_reservation(now, key, out);
         let pool = self.requests.get(key).pool.clone();
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,9 +1,9 @@
 //! Slots of a pool at its owner: one instance sees every reservation and grants the slots one by one.
 //!
-//! If eight instances choose endpoints by lagging reports, they overbook the few decode slots, and every
-//! overbooked prefill is wasted. Each pool therefore has an owner: the live member that rendezvous hashing
-//! selects. Instances ask it for a slot pair for each request. The owner knows exactly the requests that go
-//! through it; reports contribute all other work at an engine.
+//! Instances that choose endpoints by lagging reports overbook the few decode slots, and every overbooked
+//! prefill is wasted. Each pool therefore has an owner: the live member that rendezvous hashing selects.
+//! Instances ask it for a slot pair for each request. The owner knows exactly the requests that go through
+//! it; reports contribute all other work at an engine.
 //!
 //! Ownership is an optimization without guarantees. If a pool has two owners or none for a moment, the cost
 //! is some overbooking, or requesting instances that choose endpoints themselves. Engines refuse what exceeds
