--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -116,9 +116,9 @@
     }
 
     fn usable(&self, now: Instant) -> bool {
-        let reached = self.unanswered_polls < UNANSWERED_POLLS_MAX
+        let reachable = self.unanswered_polls < UNANSWERED_POLLS_MAX
             && self.paused_until.is_none_or(|until| now >= until);
-        !self.is_leaving() && reached
+        !self.is_leaving() && reachable
     }
 
     fn load(&self) -> u32 {
--- a/crates/core/src/failures.rs
+++ b/crates/core/src/failures.rs
@@ -135,10 +135,11 @@
         failure: StepFailure,
         out: &mut Vec<Effect>,
     ) {
-        let silent = matches!(failure, StepFailure::Stalled | StepFailure::Broken | StepFailure::TimedOut);
+        let stream_interrupted =
+            matches!(failure, StepFailure::Stalled | StepFailure::Broken | StepFailure::TimedOut);
         let request = self.requests.get_mut(key);
         let attempt = request.attempt();
-        if silent && !request.resumed {
+        if stream_interrupted && !request.resumed {
             // A connection can stop delivering data for good while the engine continues and new connections
             // work. The caller would see its response stop in the middle. Resuming the stream on a new
             // connection, at the offset that the caller has, costs only the pause, and the engine itself
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -551,12 +551,12 @@
     pub(crate) fn expire_requests(&mut self, now: Instant, out: &mut Vec<Effect>) {
         while let Some(key) = self.requests.overdue(now) {
             let request = self.requests.get(key);
-            let late = now >= request.deadline;
+            let deadline_passed = now >= request.deadline;
             let (ran, phase) = (request.may_have_run(), request.phase);
             let refusal = match phase {
                 Phase::Claiming => Refusal::retryable(ErrorKind::KeyUnknown, RETRY_ELSEWHERE_AFTER),
-                _ if late && ran => Refusal::new(ErrorKind::DeadlinePassed),
-                _ if late => Refusal::new(ErrorKind::Expired),
+                _ if deadline_passed && ran => Refusal::new(ErrorKind::DeadlinePassed),
+                _ if deadline_passed => Refusal::new(ErrorKind::Expired),
                 _ if ran => Refusal::retryable(ErrorKind::EndpointFailed, RETRY_ELSEWHERE_AFTER),
                 _ => self.no_slot_refusal(now, request),
             };
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -137,9 +137,9 @@
                 self.requests.get_mut(key).charge = Some(charge);
                 Ok(())
             }
-            Err(shortage) => {
+            Err(exceeded) => {
                 // Spread, so that callers that were refused together do not retry together.
-                let wait = shortage.wait + shortage.backlog.mul_f64(self.rng.random_range(0.0..1.0));
+                let wait = exceeded.wait + exceeded.backlog.mul_f64(self.rng.random_range(0.0..1.0));
                 Err(Refusal::retryable(ErrorKind::QuotaExceeded, wait))
             }
         }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -248,11 +248,11 @@
         self.removed.get(&id).map(|d| now.duration_since(d.last_seen))
     }
 
-    /// Removes previous lists and removed instances that are older than `horizon`, so that no key can depend
-    /// on them.
-    pub(crate) fn expire(&mut self, now: Instant, horizon: Duration) {
-        self.removed.retain(|_, d| now.duration_since(d.last_seen) <= horizon);
-        while self.previous_lists.front().is_some_and(|f| now.duration_since(f.replaced_at) > horizon) {
+    /// Removes previous lists and removed instances that are older than `retention`, so that no key can
+    /// depend on them.
+    pub(crate) fn expire(&mut self, now: Instant, retention: Duration) {
+        self.removed.retain(|_, d| now.duration_since(d.last_seen) <= retention);
+        while self.previous_lists.front().is_some_and(|f| now.duration_since(f.replaced_at) > retention) {
             self.previous_lists.pop_front();
         }
     }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -106,7 +106,7 @@
     /// Ordered by time.
     crashes: Vec<Crash>,
     /// When the last crash was recorded here.
-    last_noted: Instant,
+    last_recorded: Instant,
     /// When the last crash was recorded that this instance observed itself.
     last_observed: Option<Instant>,
 }
@@ -196,7 +196,7 @@
         if record.crashes.len() > CRASHES_PER_REQUEST_MAX {
             record.crashes.remove(0);
         }
-        record.last_noted = now;
+        record.last_recorded = now;
         if observed {
             record.last_observed = Some(now);
         }
@@ -268,13 +268,16 @@
 
     fn record_mut(&mut self, now: Instant, request: Fingerprint) -> &mut CrashRecord {
         if self.records.len() >= REQUESTS_MAX && !self.records.contains_key(&request) {
-            let oldest =
-                self.records.iter().min_by_key(|(_, record)| record.last_noted).map(|(&request, _)| request);
+            let oldest = self
+                .records
+                .iter()
+                .min_by_key(|(_, record)| record.last_recorded)
+                .map(|(&request, _)| request);
             oldest.and_then(|oldest| self.records.remove(&oldest));
         }
         self.records.entry(request).or_insert_with(|| CrashRecord {
             crashes: Vec::new(),
-            last_noted: now,
+            last_recorded: now,
             last_observed: None,
         })
     }
