--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,12 +1,12 @@
 //! The retry budget for sending a request to another endpoint, kept without asking other instances.
 //!
 //! The deployment allows a service, over all instances and in any window, second attempts for a fraction of
-//! its requests and a fixed number besides. Each instance spends this fraction of its own requests, and the
-//! sum over all instances is the same fraction of all requests. In addition each instance has a small
-//! reserve, which lets an instance with little traffic make a second attempt at all. Where instances are few,
-//! the reserve is fixed. Where they are many, it is an equal share of the fixed number, so that all reserves
-//! together stay within that number in a failure that all instances meet at once. Where the share is not a
-//! whole number, a random part of the instances rounds it up.
+//! its requests, and a fixed number of second attempts in addition. Each instance spends this fraction of its
+//! own requests, and the sum over all instances is the same fraction of all requests. In addition each
+//! instance has a small reserve, which lets an instance with little traffic make a second attempt at all.
+//! Where instances are few, the reserve is fixed. Where they are many, it is an equal share of the fixed
+//! number, so that all reserves together stay within that number in a failure that all instances meet at
+//! once. Where the share is not a whole number, a random part of the instances rounds it up.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 pub struct BudgetTerms {
     /// Second attempts per request.
     pub ratio: f64,
-    /// Second attempts besides, over all instances.
+    /// Second attempts that are allowed in addition, over all instances.
     pub slack: f64,
     /// Window over which both are counted.
     pub window: Duration,
--- a/crates/routing/src/health_estimate.rs
+++ b/crates/routing/src/health_estimate.rs
@@ -25,7 +25,7 @@
 /// counts, such as that of a frozen instance, and then all waiting requests would ask all such engines over
 /// and over.
 const FULL_DOUBLING_REFUSALS: u32 = 4;
-/// Longest such time.
+/// Longest time for which such a refusal keeps an endpoint from being asked again.
 const FULL_MAX: Duration = Duration::from_millis(960);
 /// Time without any response after which an engine with work of this instance counts as unresponsive: several
 /// times what a prefill or a small call takes at an engine that is not overloaded.
@@ -92,7 +92,7 @@
 
     /// Records that the endpoint has ended.
     pub(crate) fn mark_ended(&mut self, now: Instant) {
-        // Paused as well, so that it is reported to others until the list shows the end.
+        // Paused, so that it is reported to others as suspect until the list shows the end.
         self.paused_until = Some(now + ENDED_PAUSE);
     }
 
@@ -138,8 +138,8 @@
     /// the endpoint began or ended.
     ///
     /// Without the pause every request would find out by its own timeout that an endpoint is dead, and
-    /// callers would see a run of slow responses. The pause is short and ends by itself, so that a wrong one
-    /// costs little.
+    /// callers would see a run of slow responses. The pause is short and ends by itself, so that an
+    /// unnecessary pause costs little.
     pub(crate) fn learn(&mut self, now: Instant, outcome: StepOutcome, decodes: bool) -> bool {
         if matches!(outcome, StepOutcome::Answered(_) | StepOutcome::Full) && self.unanswered_since.is_some()
         {
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -38,7 +38,7 @@
 /// Time for which a report of a suspect endpoint counts; instances that still can't use the endpoint report
 /// it again.
 const SUSPICION_TTL: Duration = Duration::from_millis(700);
-/// Number of instances that must report an endpoint.
+/// Number of instances that must report an endpoint as suspect before it counts as suspected.
 const SUSPICION_QUORUM: usize = 2;
 
 /// Time for which a report counts that a decode engine runs a local prefill, about as long as the local
@@ -47,10 +47,10 @@
 
 #[derive(Debug)]
 struct Account {
-    /// Incarnation of the sender, and sequence number of its last digest.
+    /// Incarnation of the sender, and sequence number of its last update.
     order: (u64, u64),
     received: Instant,
-    /// Time without a digest after which the sender's work in flight counts as ended: the sender is dead,
+    /// Time without an update after which the sender's work in flight counts as ended: the sender is dead,
     /// frozen or partitioned, and engines stop work whose connection ends.
     failure_timeout: Duration,
     tokens: HashMap<EngineTag, u32>,
@@ -79,14 +79,14 @@
 }
 
 impl<P: Copy + Eq + std::hash::Hash> Ledger<P> {
-    /// Replaces all that an instance has in flight by its digest. The sender draws `incarnation` at random
-    /// when it starts, and `sequence` grows with each digest of that incarnation; a digest that is not newer
-    /// than the last one of the same incarnation is ignored.
+    /// Replaces all that an instance has in flight by what its update reports. The sender draws `incarnation`
+    /// at random when it starts, and `sequence` grows with each update of that incarnation; an update that is
+    /// not newer than the last one of the same incarnation is ignored.
     ///
     /// Two incarnations have no order. A clock would give one, but an instance that restarts after its clock
     /// went back would then be ignored until the clock has caught up, and others would take engines for empty
-    /// that it has filled. A digest of a previous incarnation that arrives after one of the next counts until
-    /// the next digest comes, a moment later.
+    /// that it has filled. An update of a previous incarnation that arrives after one of the next incarnation
+    /// counts until the next update arrives, a moment later.
     ///
     /// Returns whether the incarnation was not known, or not any more.
     pub fn update(
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,8 +6,8 @@
 //! - `endpoints` keeps every `endpoint` with the `health_estimate` that its results have left, and chooses
 //!   among them; `removed` remembers incarnations of endpoints that are no longer listed.
 //! - `ledger` is the work that other instances have in flight.
-//! - `rates` keeps to the rates that endpoints advertise, and `refusals` counts the requests that are refused
-//!   because of them.
+//! - `rates` keeps the sends of the instances within the rates that endpoints advertise, and `refusals`
+//!   counts the requests that are refused because of them.
 //! - `prefill_estimate` learns how long prefill takes, and `output_estimate` how many tokens generations
 //!   produce.
 //! - `retry_detection` tells callers' retries from new requests, and `wait_policy` says how long a generation
--- a/crates/routing/src/output_estimate.rs
+++ b/crates/routing/src/output_estimate.rs
@@ -2,13 +2,13 @@
 //!
 //! Callers estimate their output. The estimates are right at the median but often far off. An estimate that
 //! is far from the usual one is mostly wrong in that direction, so the true output lies between the two
-//! (regression to the mean). How far between is learned by a regression of logarithms: of the events that
-//! came on the tokens that were estimated. Since estimates are right at the median, the regression also gives
-//! the tokens in one event, which engines don't report.
+//! (regression to the mean). How far between is learned by a regression of logarithms: of the number of
+//! events received on the number of tokens estimated. Since estimates are right at the median, the means of
+//! the regression also give the tokens in one event, which engines don't report.
 
 /// Ended generations that count; some minutes of one instance, and enough for a steady slope.
 const SPAN: f64 = 200.0;
-/// Weight of the prior, that estimates are right, in generations.
+/// Weight of the prior assumption that estimates are right, in generations.
 const PRIOR: f64 = 10.0;
 /// Variance of the estimates' logarithms under the prior.
 const PRIOR_VARIANCE: f64 = 0.5;
--- a/crates/routing/src/peers.rs
+++ b/crates/routing/src/peers.rs
@@ -31,24 +31,23 @@
 /// Shortest time between two updates to a peer in the same failure domain. A prefill lasts some four of
 /// these.
 const NEAR_INTERVAL: Duration = Duration::from_millis(25);
-/// Added to it for each peer, so that what an instance sends and reads does not grow with the square of their
-/// number.
+/// Added to [`NEAR_INTERVAL`] for each peer, so that what an instance sends and reads does not grow with the
+/// square of their number.
 const NEAR_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
-/// Peers in other failure domains get as many updates together as this number of peers would, however many
-/// they are.
+/// Number of peers above which those in other failure domains are sent updates less often than those in the
+/// same one. Together they get as many updates as this number of peers would at the shorter interval.
 ///
 /// Work stays in its domain as long as there is capacity, so that what others have in flight there matters
 /// only when work overflows into other domains, and bytes between domains are expensive where instances are
 /// many. But in a burst three of four attempts to reserve go to other domains, and engines there look emptier
-/// than they are for the length of the gossip delay. With a third of these updates, callers of four
-/// deployments of 68 to 195 instances were refused and preempted more often, for bytes that are expensive for
-/// only one of the deployments (35 pairs of runs). Where peers are few, all get updates at the same interval:
-/// with 108 ms in place of 33 ms between two updates, two sites of seven and nine instances lost some 0.006
-/// of worth (40 pairs of runs).
+/// than they are for the length of the gossip delay. With a much smaller number, callers would be refused and
+/// preempted more often. Where peers are few, all get updates at the same interval: the bytes are few, and a
+/// longer interval only makes choices worse.
 const FAR_EQUIVALENT_PEERS: f64 = 48.0;
 /// Peers that are sent an update in one round; more of them take turns.
 const FANOUT: usize = 80;
-/// Those of other failure domains among them, at least, if more are due.
+/// Peers of other failure domains that are sent an update in one round even if more peers of the same domain
+/// are due.
 const FANOUT_FAR: usize = 36;
 
 /// Peers of a failure domain that are named to all of it: the store readers, which are few.
--- a/crates/routing/src/rates.rs
+++ b/crates/routing/src/rates.rs
@@ -78,7 +78,7 @@
     pub observation: Option<RateObservation>,
     /// Requests that the sender has sent there since it learned of the rate.
     pub total: u32,
-    /// Those of the last seconds among them.
+    /// The part of `total` that was sent in the last seconds.
     pub recent: u32,
 }
 
@@ -260,7 +260,8 @@
         changed.then_some(RateChange::Limited(rate))
     }
 
-    /// Merges the sends to an endpoint that another instance reports, in this incarnation of it.
+    /// Merges the sends to an endpoint that another instance reports; `incarnation` is that of the reporting
+    /// instance.
     pub fn merge_sends(&mut self, now: Instant, from: P, incarnation: u64, report: RateReport) {
         let share = self.own_share();
         let Some(bucket) = self.buckets.get_mut(&report.endpoint) else { return };
@@ -352,7 +353,7 @@
     pub fn refund(&mut self, now: Instant, endpoint: EngineTag) {
         let share = self.own_share();
         let Some(bucket) = self.buckets.get_mut(&endpoint) else { return };
-        // It may have been sent before the endpoint advertised a rate, and is not charged then.
+        // A request that began before the endpoint advertised a rate was not charged.
         if bucket.recent.pop_back().is_some() {
             bucket.refill(now, share);
             bucket.level += 1.0;
@@ -366,8 +367,8 @@
         self.ended.remove(&endpoint);
     }
 
-    /// Removes ends of rates that are old, and rates of endpoints that are not listed and were not observed
-    /// for long.
+    /// Removes records of rates that ended long ago, and rates of endpoints that are not listed and were not
+    /// observed for long.
     pub fn expire(&mut self, now: Instant, is_listed: impl Fn(EngineTag) -> bool) {
         let outdated = |at: Instant| now.saturating_duration_since(at) > UNLISTED_TTL;
         self.ended.retain(|_, (at, _)| !outdated(*at));
--- a/crates/routing/src/store_updates.rs
+++ b/crates/routing/src/store_updates.rs
@@ -5,8 +5,8 @@
 //! watches it: with some thirty instances in a domain, each change would be read thirty times. So two
 //! instances of a domain read the store and send updates to the others at once. No coordinator chooses the
 //! two, and the instances need not agree on them. Each instance takes those with the lowest addresses among
-//! the peers that it has observed lately. Two views may differ for a moment; then one instance more reads, or
-//! one fewer.
+//! the peers that it has observed lately. Two views may differ for a moment; the number of readers is then
+//! one higher or lower.
 //!
 //! The store may be restored from a backup ([`Era`]). A response of an older era than the known one is
 //! ignored. A response of a newer era invalidates the known revisions, so that the store is read completely
@@ -31,7 +31,7 @@
 /// Time after the first start of the whole system in which instances discover one another before they watch
 /// the store.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// Longest such time, for an instance that has not observed the others of its domain by then.
+/// Longest time until an instance watches the store if it has not observed the others of its domain by then.
 const SETTLE_TIME_MAX: Duration = Duration::from_secs(5);
 /// Peers of all domains from which on an instance is sure to discover some in its own domain.
 const MANY_PEERS: usize = 4 * SHARING_MIN_PEERS;
--- a/crates/routing/src/wait_policy.rs
+++ b/crates/routing/src/wait_policy.rs
@@ -24,9 +24,9 @@
 /// The same for a late request, which must not lengthen a queue of prompts that can be on time.
 const PREFILL_FRACTION_LATE: f64 = 0.35;
 /// Fraction of a caller's remaining time after which it is told to retry if there is no capacity. The caller
-/// misses its goal whatever the delay is, so the delay only has to end when there is capacity: bursts last
-/// some seconds, and a caller that retries within a burst is refused again. Callers by themselves wait a
-/// third of their time at most.
+/// misses its goal whatever the delay is, so what matters is that there is capacity when the delay ends:
+/// bursts last some seconds, and a caller that retries within a burst is refused again. Callers wait for a
+/// third of their remaining time at most, so the delay must be shorter than that.
 const RETRY_DELAY_FRACTION: f64 = 0.27;
 /// Longest retry delay; a burst is over by then.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(4);
@@ -102,8 +102,8 @@
     /// row mean that the pool is full: the instances' view of the pool is a moment old, so they ask the
     /// engines that look emptier than they are. Without pauses each search goes through the whole pool, with
     /// ten attempts and as many connections for each generation that finds capacity, and gains nothing:
-    /// capacity that becomes free is found by some search within milliseconds in any case. With pauses that
-    /// grow, 195 instances made a quarter fewer connections for the same callers, in five pairs of runs.
+    /// capacity that becomes free is found by some search within milliseconds in any case. Pauses that grow
+    /// save these connections and serve the same callers.
     pub fn after_refusal(&mut self) -> Duration {
         let pause = self.pause * self.refusals;
         self.refusals = (self.refusals + 1).min(REFUSALS_MAX);
