--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -18,7 +18,7 @@
 use rand::Rng;
 use slotmap::SlotMap;
 
-use self::limited::{FoundShare, Sample};
+use self::limited::{FoundFraction, Sample};
 use crate::health_estimate::HealthEstimate;
 use crate::removed::Removed;
 use crate::{Endpoint, EndpointKey, EndpointState, EngineTag, Ledger, Rates, Stage, StepOutcome};
@@ -178,7 +178,7 @@
     uncertain_until: Option<Instant>,
     ledger: Ledger<SocketAddr>,
     rates: Rates<SocketAddr>,
-    found_share: FoundShare,
+    found_fraction: FoundFraction,
 }
 
 impl Endpoints {
@@ -507,7 +507,7 @@
     /// Removes the rates of endpoints that are not listed and for which no rate was observed for long.
     pub fn expire_rates(&mut self, now: Instant) {
         if self.rates.is_empty() {
-            self.found_share.clear();
+            self.found_fraction.clear();
             return;
         }
         let listed: HashSet<EngineTag> = self.arena.values().map(|entry| entry.tag).collect();
@@ -580,7 +580,7 @@
         rng: &mut impl Rng,
     ) -> Option<(Rank, EndpointKey)> {
         let only_limited = best.is_none();
-        if !only_limited || self.found_share.attempts(need.service, need.stage, rng) {
+        if !only_limited || self.found_fraction.attempts(need.service, need.stage, rng) {
             for (rank, key) in limited.drawn() {
                 let better = best.is_none_or(|(least, _)| rank < least);
                 if better && rng.random_bool(self.rates.admitted_share(now, self.arena[key].tag)) {
@@ -589,7 +589,7 @@
             }
         }
         if only_limited {
-            self.found_share.learn(need.service, need.stage, best.is_some());
+            self.found_fraction.learn(need.service, need.stage, best.is_some());
         }
         best
     }
--- a/crates/routing/src/endpoints/limited.rs
+++ b/crates/routing/src/endpoints/limited.rs
@@ -14,13 +14,13 @@
 
 /// Rate-limited endpoints that a choice considers.
 const SAMPLE_SIZE: usize = 2;
-/// Share of the requests that attempt rate-limited endpoints, as a multiple of the share that found capacity
-/// there lately. Requests beyond that are refused without an attempt, so that the load on an endpoint with
-/// free capacity doesn't grow with the callers' demand.
+/// Fraction of the requests that attempt rate-limited endpoints, as a multiple of the fraction that found
+/// capacity there lately. Requests beyond that are refused without an attempt, so that the load on an
+/// endpoint with free capacity doesn't grow with the callers' demand.
 const ATTEMPT_SURPLUS: f64 = 1.5;
-/// Smallest share of the requests that attempt them.
-const ATTEMPT_SHARE_MIN: f64 = 0.05;
-/// Weight of one choice in the share of those that found capacity.
+/// Smallest fraction of the requests that attempt them.
+const ATTEMPT_FRACTION_MIN: f64 = 0.05;
+/// Weight of one choice in the fraction of those that found capacity.
 const FOUND_WEIGHT: f64 = 0.06;
 
 /// Random sample of the rate-limited endpoints among a choice's candidates, with the same chance for each.
@@ -55,32 +55,32 @@
 /// Service and stage of a choice.
 type Kind = (Arc<str>, Option<Stage>);
 
-/// Share of the choices that found capacity, among those with rate-limited candidates only.
+/// Fraction of the choices that found capacity, among those with rate-limited candidates only.
 #[derive(Debug, Default)]
-pub(super) struct FoundShare {
+pub(super) struct FoundFraction {
     found: RefCell<HashMap<Kind, f64>>,
 }
 
-impl FoundShare {
-    fn share(&self, kind: &Kind) -> f64 {
+impl FoundFraction {
+    fn fraction(&self, kind: &Kind) -> f64 {
         self.found.borrow().get(kind).copied().unwrap_or(1.0)
     }
 
     /// Draws whether a request attempts rate-limited endpoints where there are no others.
     pub(super) fn attempts(&self, service: &str, stage: Option<Stage>, rng: &mut impl Rng) -> bool {
-        let share = self.share(&(Arc::from(service), stage));
-        rng.random_bool((share * ATTEMPT_SURPLUS).clamp(ATTEMPT_SHARE_MIN, 1.0))
+        let fraction = self.fraction(&(Arc::from(service), stage));
+        rng.random_bool((fraction * ATTEMPT_SURPLUS).clamp(ATTEMPT_FRACTION_MIN, 1.0))
     }
 
     /// Learns whether a request found capacity; a request without an attempt did not.
     pub(super) fn learn(&self, service: &str, stage: Option<Stage>, found: bool) {
         let kind = (Arc::from(service), stage);
-        let share = self.share(&kind);
+        let fraction = self.fraction(&kind);
         let found = f64::from(u8::from(found));
-        self.found.borrow_mut().insert(kind, share + (found - share) * FOUND_WEIGHT);
+        self.found.borrow_mut().insert(kind, fraction + (found - fraction) * FOUND_WEIGHT);
     }
 
-    /// Resets the shares, when no endpoint advertises a rate.
+    /// Resets the fractions, when no endpoint advertises a rate.
     pub(super) fn clear(&mut self) {
         self.found.get_mut().clear();
     }
--- a/crates/routing/src/health_estimate.rs
+++ b/crates/routing/src/health_estimate.rs
@@ -39,13 +39,13 @@
 const LATENCY_HALF_LIFE: f64 = 3.0;
 /// Weight of one result in the moving average of failures.
 const ERROR_WEIGHT: f64 = 0.25;
-/// Seconds in which the share of failures falls by half without results; longer than that of latencies, since
-/// each attempt at an endpoint that fails costs a caller its response.
+/// Seconds in which the fraction of failures falls by half without results; longer than that of latencies,
+/// since each attempt at an endpoint that fails costs a caller its response.
 const ERROR_HALF_LIFE: f64 = 5.0;
-/// Share of failures above which an endpoint is only chosen where there is no other: three in a row at an
+/// Fraction of failures above which an endpoint is only chosen where there is no other: three in a row at an
 /// endpoint without failures before. Some services normally fail one request in seven, so that two in a row
 /// mean nothing.
-const SUSPECT_ERROR_SHARE: f64 = 0.5;
+const SUSPECT_ERROR_FRACTION: f64 = 0.5;
 
 /// What the results at one endpoint have shown.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
     unanswered_since: Option<Instant>,
     latency: f64,
     latency_at: Option<Instant>,
-    /// Share of failures as of `errors_at`.
+    /// Fraction of failures as of `errors_at`.
     errors: f64,
     errors_at: Option<Instant>,
 }
@@ -103,16 +103,16 @@
         INITIAL_LATENCY + (self.latency - INITIAL_LATENCY) * 0.5_f64.powf(age / LATENCY_HALF_LIFE)
     }
 
-    /// Share of results that are failures. It decays without results, so that the endpoint gets another
+    /// Fraction of results that are failures. It decays without results, so that the endpoint gets another
     /// attempt.
-    fn error_share(&self, now: Instant) -> f64 {
+    fn error_fraction(&self, now: Instant) -> f64 {
         let Some(at) = self.errors_at else { return 0.0 };
         self.errors * 0.5_f64.powf(now.duration_since(at).as_secs_f64() / ERROR_HALF_LIFE)
     }
 
     fn learn_error(&mut self, now: Instant, failed: bool) {
-        let share = self.error_share(now);
-        self.errors = share + (f64::from(u8::from(failed)) - share) * ERROR_WEIGHT;
+        let fraction = self.error_fraction(now);
+        self.errors = fraction + (f64::from(u8::from(failed)) - fraction) * ERROR_WEIGHT;
         self.errors_at = Some(now);
     }
 
@@ -121,7 +121,8 @@
     /// An endpoint can fail all requests fast while its health checks pass. By its latency alone it would
     /// look the best of all, and attract over half of the callers.
     pub(crate) fn is_suspect(&self, now: Instant) -> bool {
-        self.error_share(now) > SUSPECT_ERROR_SHARE || self.paused_until.is_some_and(|until| now < until)
+        self.error_fraction(now) > SUSPECT_ERROR_FRACTION
+            || self.paused_until.is_some_and(|until| now < until)
     }
 
     /// Whether work is in progress there and nothing was received for long.
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Account {
     /// Incarnation of the sender, and sequence number of its last update.
-    order: (u64, u64),
+    last_update: (u64, u64),
     received: Instant,
     /// Time without an update after which the sender's work in flight counts as ended: the sender is dead,
     /// frozen or partitioned, and engines stop work whose connection ends.
@@ -96,18 +96,20 @@
         (incarnation, sequence): (u64, u64),
         tokens: HashMap<EngineTag, u32>,
     ) -> bool {
-        let outdated = |a: &Account| a.order.0 == incarnation && a.order.1 >= sequence;
+        let outdated = |a: &Account| a.last_update.0 == incarnation && a.last_update.1 >= sequence;
         if self.accounts.get(&from).is_some_and(outdated) {
             return false;
         }
-        let is_new = self.accounts.get(&from).is_none_or(|a| a.order.0 != incarnation);
+        let is_new = self.accounts.get(&from).is_none_or(|a| a.last_update.0 != incarnation);
         self.drop_account(from);
         for (&tag, &count) in &tokens {
             *self.totals.entry(tag).or_default() += u64::from(count);
         }
         let failure_timeout = failure_timeout(Duration::ZERO);
-        self.accounts
-            .insert(from, Account { order: (incarnation, sequence), received: now, failure_timeout, tokens });
+        self.accounts.insert(
+            from,
+            Account { last_update: (incarnation, sequence), received: now, failure_timeout, tokens },
+        );
         is_new
     }
 
--- a/crates/routing/src/output_estimate.rs
+++ b/crates/routing/src/output_estimate.rs
@@ -13,7 +13,7 @@
 /// Variance of the estimates' logarithms under the prior.
 const PRIOR_VARIANCE: f64 = 0.5;
 /// Generations that must have ended before the tokens in an event are estimated.
-const ENOUGH: f64 = 10.0;
+const GENERATIONS_MIN: f64 = 10.0;
 
 /// What has been learned of one service's generations.
 #[derive(Debug, Clone, Copy, Default)]
@@ -58,6 +58,6 @@
     /// Estimated tokens in so many events; `None` until enough generations have ended.
     pub fn tokens_for_events(&self, events: u32) -> Option<u64> {
         let tokens = (self.hint - self.events).exp() * f64::from(events);
-        (self.count >= ENOUGH).then_some(tokens.round() as u64)
+        (self.count >= GENERATIONS_MIN).then_some(tokens.round() as u64)
     }
 }
--- a/crates/routing/src/peers.rs
+++ b/crates/routing/src/peers.rs
@@ -201,9 +201,9 @@
         if due.len() > FANOUT {
             due.sort_by_cached_key(|&peer| (self.is_far(&self.known[&peer]), self.known[&peer].sent, peer));
             let near = due.partition_point(|peer| !self.is_far(&self.known[peer]));
-            let (near_slots, far_slots) = slots(near, due.len() - near);
-            due.drain(near_slots..near);
-            due.truncate(near_slots + far_slots);
+            let (near_fanout, far_fanout) = fanout(near, due.len() - near);
+            due.drain(near_fanout..near);
+            due.truncate(near_fanout + far_fanout);
         }
         for peer in &due {
             if let Some(known) = self.known.get_mut(peer) {
@@ -221,9 +221,10 @@
     pub fn gossip_interval(&self, domain: Option<u32>) -> Duration {
         let far = self.known.values().filter(|peer| self.is_far(peer)).count();
         let near = self.known.len() - far;
-        let (near_slots, far_slots) = slots(near, far);
-        let (count, slots) = if domain == Some(self.domain) { (near, near_slots) } else { (far, far_slots) };
-        let rounds = count.div_ceil(slots.max(1)).max(1) as u32;
+        let (near_fanout, far_fanout) = fanout(near, far);
+        let (count, fanout) =
+            if domain == Some(self.domain) { (near, near_fanout) } else { (far, far_fanout) };
+        let rounds = count.div_ceil(fanout.max(1)).max(1) as u32;
         (self.min_interval() + self.round_pause(false)) * rounds
     }
 
@@ -251,9 +252,9 @@
 }
 
 /// How many of so many near and far peers are sent an update in one round.
-fn slots(near: usize, far: usize) -> (usize, usize) {
-    let near_slots = near.min(FANOUT - far.min(FANOUT_FAR));
-    (near_slots, far.min(FANOUT - near_slots))
+fn fanout(near: usize, far: usize) -> (usize, usize) {
+    let near_fanout = near.min(FANOUT - far.min(FANOUT_FAR));
+    (near_fanout, far.min(FANOUT - near_fanout))
 }
 
 /// Time without an update after which a peer with this gossip interval counts as unresponsive.
--- a/crates/routing/src/refusals.rs
+++ b/crates/routing/src/refusals.rs
@@ -8,7 +8,7 @@
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time after a refusal in which other requests are refused without waiting: a request that waits in vain
 /// shows that waiting does not help.
-const OVERLOADED: Duration = Duration::from_secs(1);
+const OVERLOAD_TIME: Duration = Duration::from_secs(1);
 /// Longest time after which a caller is asked to retry.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(10);
 
@@ -35,6 +35,6 @@
     /// Whether a request to the service was refused a moment ago.
     pub fn is_overloaded(&self, now: Instant, service: &str) -> bool {
         let last = self.times.get(service).and_then(VecDeque::back);
-        last.is_some_and(|&at| now.duration_since(at) < OVERLOADED)
+        last.is_some_and(|&at| now.duration_since(at) < OVERLOAD_TIME)
     }
 }
