--- a/crates/settings/src/configuration.rs
+++ b/crates/settings/src/configuration.rs
@@ -32,7 +32,7 @@
     /// Plain services in addition to the engines.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Teams with a share of their own; any other caller counts as an additional team of weight 1.
+    /// Teams with a share of their own; all other callers together count as one additional team of weight 1.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Links of limited rate between failure domains.
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! `key` holds what must not be printed, `directory` finds the team of a key, and `quota` limits teams across
 //! many instances that do not coordinate. The crate does no input or output, and the clock is passed in, so
-//! both interfaces of the product use it.
+//! that `teaselshunt-core` and `teaselshunt-forward` both use it.
 
 mod directory;
 mod key;
--- a/crates/teams/src/quota.rs
+++ b/crates/teams/src/quota.rs
@@ -54,8 +54,8 @@
 /// Time after the start in which failure domains from which nothing was received yet are assumed to be as
 /// large as the own domain.
 const UNSEEN_DOMAIN_TIMEOUT: Duration = Duration::from_mins(10);
-/// Time after a start or a reset in which what peers admitted earlier is not taken from a level that began
-/// without knowledge of it.
+/// Time after a start or a reset in which the first report of a peer's spending for a team is not charged:
+/// the level began without knowledge of what peers had admitted, and is only lowered to the peer's level.
 const WARM_UP: Duration = Duration::from_secs(5);
 /// Largest number of teams in one update.
 const MAX_REPORTED_TEAMS: usize = 64;
--- a/crates/teams/src/quota/account.rs
+++ b/crates/teams/src/quota/account.rs
@@ -9,8 +9,8 @@
 
 use crate::directory::{Limit, TeamTag};
 
-/// Largest debt, in seconds of the rate. Callers wait for admissions that an instance learns of late, but not
-/// for minutes of them.
+/// Largest debt, in seconds of the rate. After admissions that an instance learns of late, callers have to
+/// wait, but only for seconds.
 const MAX_DEBT_SECONDS: f64 = 3.0;
 /// Ticks within the failure timeout of a peer.
 const TICKS_PER_FAILURE_TIMEOUT: usize = 4;
@@ -53,7 +53,7 @@
     /// Time until the level suffices for the request.
     pub wait: Duration,
     /// Time that the rate needs for all recently refused requests. Callers whose retries are spread over this
-    /// time come as fast as they can be served, and not all at once.
+    /// time retry as fast as they can be served, and not all at once.
     pub backlog: Duration,
 }
 
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -25,7 +25,7 @@
 /// Requests a prefill.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillRequest {
-    /// Id under which the engine reports and cancels it.
+    /// Id under which the engine reports and cancels the request.
     pub request_id: String,
     /// Model name.
     pub model: String,
@@ -37,7 +37,7 @@
     /// Number of tokens in `generated`; the stream will start at this offset.
     #[serde(default)]
     pub offset: u32,
-    /// 0 is most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
@@ -57,7 +57,7 @@
 /// Requests that a decode engine fetches a KV cache from a prefill engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportRequest {
-    /// Id under which the engine reports and cancels it.
+    /// Id under which the engine reports and cancels the request.
     pub request_id: String,
     /// Address of the prefill engine.
     pub origin: SocketAddr,
@@ -84,7 +84,7 @@
     pub offset: u32,
     /// Largest number of tokens of the complete response.
     pub max_tokens: u32,
-    /// 0 is most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
--- a/crates/wire/src/status.rs
+++ b/crates/wire/src/status.rs
@@ -86,7 +86,7 @@
     pub slots: u32,
     /// Whether it is draining or removed, and gets no new work.
     pub leaving: bool,
-    /// Whether it is reachable.
+    /// Whether it is reachable: not paused after failures, and no polls of its load left unanswered.
     pub reachable: bool,
 }
 
