--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -39,7 +39,7 @@
 
 impl Instance {
     pub(crate) fn claim(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
-        let has_creation_time = self.requests.get(key).key.is_some_and(|k| k.born.is_some());
+        let has_creation_time = self.requests.get(key).caller_key.is_some_and(|k| k.born.is_some());
         let recently_frozen = self.freeze_ended.is_some_and(|at| now.duration_since(at) < POST_FREEZE_WINDOW);
         if recently_frozen && !has_creation_time {
             // The request may have waited in the socket for longer than homes keep records, so that a grant
@@ -53,7 +53,7 @@
 
     fn send_claim(&mut self, now: Instant, key: RequestKey, out: &mut Vec<Effect>) {
         let request = self.requests.get(key);
-        let Some(CallerKey { key: idempotency, born }) = request.key else {
+        let Some(CallerKey { key: idempotency, born }) = request.caller_key else {
             return;
         };
         let id = request.id;
@@ -198,7 +198,7 @@
         outcome: ClaimOutcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(CallerKey { key, .. }) = request.key else {
+        let Some(CallerKey { key, .. }) = request.caller_key else {
             return;
         };
         let Some(home) = self.grants.remove(&request.id) else {
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -50,7 +50,7 @@
         if let Err(refusal) = self.charge(now, key) {
             return self.refuse(now, key, refusal, out);
         }
-        match self.requests.get(key).key {
+        match self.requests.get(key).caller_key {
             Some(_) => self.claim(now, key, out),
             None => self.admit(now, key, out),
         }
@@ -435,7 +435,7 @@
         self.counters.abandoned += 1;
         self.caller_left(now, key);
         let request = self.requests.get_mut(key);
-        if request.key.is_some() && matches!(request.phase, Phase::Calling { .. }) {
+        if request.caller_key.is_some() && matches!(request.phase, Phase::Calling { .. }) {
             // The call has been sent and cannot be revoked. Its response is awaited for the caller's retry,
             // which will ask for it with the same key.
             request.caller_gone = true;
--- a/crates/core/src/new_request.rs
+++ b/crates/core/src/new_request.rs
@@ -55,7 +55,7 @@
             team: self.known_team(work.team),
             priority: class.priority,
             wait: Duration::from_millis(class.wait_ms),
-            key: work.key,
+            caller_key: work.key,
             fingerprint: work.fingerprint,
             deadline: work.deadline,
         })
@@ -78,7 +78,7 @@
             team: self.known_team(work.team.clone()),
             priority: SERVICE_PRIORITY,
             wait: SERVICE_WAIT,
-            key: work.key,
+            caller_key: work.key,
             fingerprint: work.fingerprint,
             deadline: work.deadline,
         })
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -75,7 +75,7 @@
     pub(crate) priority: u8,
     /// Longest wait for a slot.
     pub(crate) wait: Duration,
-    pub(crate) key: Option<CallerKey>,
+    pub(crate) caller_key: Option<CallerKey>,
     /// Units charged to the team.
     pub(crate) charge: Option<Charge>,
     pub(crate) fingerprint: Fingerprint,
@@ -144,7 +144,7 @@
     pub(crate) team: String,
     pub(crate) priority: u8,
     pub(crate) wait: Duration,
-    pub(crate) key: Option<CallerKey>,
+    pub(crate) caller_key: Option<CallerKey>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) deadline: Duration,
 }
@@ -170,7 +170,7 @@
             team: new_request.team,
             priority: new_request.priority,
             wait: new_request.wait,
-            key: new_request.key,
+            caller_key: new_request.caller_key,
             charge: None,
             fingerprint: new_request.fingerprint,
             arrived: now,
