--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -45,8 +45,9 @@
 /// prefill of a usual prompt takes.
 const LOCAL_PREFILL_TTL: Duration = Duration::from_millis(300);
 
+/// What an instance has in flight, by its last update.
 #[derive(Debug)]
-struct Account {
+struct PeerWork {
     /// Incarnation of the sender, and sequence number of its last update.
     last_update: (u64, u64),
     received: Instant,
@@ -59,7 +60,7 @@
 /// Work that other instances have in flight; `P` names an instance.
 #[derive(Debug)]
 pub struct Ledger<P> {
-    accounts: HashMap<P, Account>,
+    peers: HashMap<P, PeerWork>,
     totals: HashMap<EngineTag, u64>,
     /// Instances that could not reach an endpoint lately, and when each reported it.
     suspicions: HashMap<EngineTag, HashMap<P, Instant>>,
@@ -70,7 +71,7 @@
 impl<P> Default for Ledger<P> {
     fn default() -> Self {
         Self {
-            accounts: HashMap::new(),
+            peers: HashMap::new(),
             totals: HashMap::new(),
             suspicions: HashMap::new(),
             local_prefills: HashMap::new(),
@@ -96,27 +97,27 @@
         (incarnation, sequence): (u64, u64),
         tokens: HashMap<EngineTag, u32>,
     ) -> bool {
-        let outdated = |a: &Account| a.last_update.0 == incarnation && a.last_update.1 >= sequence;
-        if self.accounts.get(&from).is_some_and(outdated) {
+        let outdated = |work: &PeerWork| work.last_update.0 == incarnation && work.last_update.1 >= sequence;
+        if self.peers.get(&from).is_some_and(outdated) {
             return false;
         }
-        let is_new = self.accounts.get(&from).is_none_or(|a| a.last_update.0 != incarnation);
-        self.drop_account(from);
+        let is_new = self.peers.get(&from).is_none_or(|work| work.last_update.0 != incarnation);
+        self.drop_peer(from);
         for (&tag, &count) in &tokens {
             *self.totals.entry(tag).or_default() += u64::from(count);
         }
         let failure_timeout = failure_timeout(Duration::ZERO);
-        self.accounts.insert(
+        self.peers.insert(
             from,
-            Account { last_update: (incarnation, sequence), received: now, failure_timeout, tokens },
+            PeerWork { last_update: (incarnation, sequence), received: now, failure_timeout, tokens },
         );
         is_new
     }
 
     /// Sets the longest time until an instance sends its next update.
     pub fn set_gossip_interval(&mut self, from: P, interval: Duration) {
-        if let Some(account) = self.accounts.get_mut(&from) {
-            account.failure_timeout = failure_timeout(interval);
+        if let Some(work) = self.peers.get_mut(&from) {
+            work.failure_timeout = failure_timeout(interval);
         }
     }
 
@@ -149,11 +150,11 @@
             !reports.is_empty()
         });
         self.local_prefills.retain(|_, at| now.duration_since(*at) < LOCAL_PREFILL_TTL);
-        let unresponsive = |a: &Account| now.duration_since(a.received) > a.failure_timeout;
+        let unresponsive = |work: &PeerWork| now.duration_since(work.received) > work.failure_timeout;
         let expired: Vec<P> =
-            self.accounts.iter().filter(|(_, a)| unresponsive(a)).map(|(&p, _)| p).collect();
+            self.peers.iter().filter(|(_, work)| unresponsive(work)).map(|(&p, _)| p).collect();
         for peer in expired {
-            self.drop_account(peer);
+            self.drop_peer(peer);
         }
     }
 
@@ -162,9 +163,9 @@
         self.totals.get(&tag).copied().unwrap_or(0)
     }
 
-    fn drop_account(&mut self, from: P) {
-        let Some(account) = self.accounts.remove(&from) else { return };
-        for (tag, count) in account.tokens {
+    fn drop_peer(&mut self, from: P) {
+        let Some(work) = self.peers.remove(&from) else { return };
+        for (tag, count) in work.tokens {
             if let Some(total) = self.totals.get_mut(&tag) {
                 *total = total.saturating_sub(u64::from(count));
             }
