--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -34,8 +34,8 @@
 use rand::Rng;
 use slog::{info, warn};
 use teaselshunt_routing::{
-    Endpoint, Era, EraOrder, Freshness, ReadNeed, RecentChanges, RouteSet, SnapshotSources, Stage,
-    StallDetector, UpdateSource, UpsertOutcome,
+    Endpoint, Era, EraOrder, FreezeDetector, Freshness, ReadNeed, RecentChanges, RouteSet, SnapshotSources,
+    Stage, UpdateSource, UpsertOutcome,
 };
 use teaselshunt_teams::Teams;
 use tokio::sync::{Notify, mpsc};
@@ -142,7 +142,7 @@
     missing_since: Cell<Instant>,
     source: Cell<UpdateSource>,
     freshness: Cell<Freshness>,
-    stall_detector: Cell<StallDetector>,
+    freeze_detector: Cell<FreezeDetector>,
     /// Wakes an instance that follows its peers: its source has changed, or it must ask the store.
     wakeup: Notify,
     read_need: Cell<ReadNeed>,
@@ -171,7 +171,7 @@
             missing_since: Cell::new(started),
             source: Cell::default(),
             freshness: Cell::new(Freshness::new(settings.apply_bound.min(settings.drain_bound))),
-            stall_detector: Cell::new(StallDetector::new(node.clock.uptime())),
+            freeze_detector: Cell::new(FreezeDetector::new(node.clock.uptime())),
             wakeup: Notify::new(),
             read_need: Cell::default(),
             updates,
@@ -374,8 +374,8 @@
         self.node.state.borrow_mut().list_confirmed = Some(now);
         // The response may have been unread while this process was frozen.
         let uptime = self.node.clock.uptime();
-        let stalled = self.stall_detector.get().stalled_since(called_at, uptime);
-        self.confirm(if stalled { called_at } else { uptime });
+        let frozen = self.freeze_detector.get().frozen_since(called_at, uptime);
+        self.confirm(if frozen { called_at } else { uptime });
     }
 
     fn apply(&self, batch: Batch) {
--- a/crates/forward/src/catalog/store_updates.rs
+++ b/crates/forward/src/catalog/store_updates.rs
@@ -45,9 +45,9 @@
     /// Sets the peers of the same failure domain. Called several times a second.
     pub(crate) fn set_domain_peers(&self, own: SocketAddr, domain_peers: &HashSet<SocketAddr>) {
         self.snapshot_sources.borrow_mut().retain(|peer| domain_peers.contains(&peer));
-        let mut stall_detector = self.stall_detector.get();
-        stall_detector.tick(self.node.clock.uptime());
-        self.stall_detector.set(stall_detector);
+        let mut freeze_detector = self.freeze_detector.get();
+        freeze_detector.tick(self.node.clock.uptime());
+        self.freeze_detector.set(freeze_detector);
         let source = match UpdateSource::of(&own, domain_peers.iter().copied()) {
             // Orders to engines depend on the current list, without the delay of a peer.
             UpdateSource::Peers if self.gives_orders => UpdateSource::Reader,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -56,5 +56,5 @@
 pub use sends::Sends;
 pub use snapshot_sources::{SnapshotSearch, SnapshotSources, SnapshotStep};
 pub use stages::{StageChange, plan_stage_changes};
-pub use store_updates::{Era, EraOrder, Freshness, ReadNeed, StallDetector, UpdateEffect, UpdateSource};
+pub use store_updates::{Era, EraOrder, FreezeDetector, Freshness, ReadNeed, UpdateEffect, UpdateSource};
 pub use wait_policy::{Backoff, WaitPolicy, retry_delay};
--- a/crates/routing/src/store_updates.rs
+++ b/crates/routing/src/store_updates.rs
@@ -19,7 +19,7 @@
 //! peers are unresponsive, dead, partitioned or slow. Only the age counts, so that an update that is old,
 //! duplicated or out of order can make nothing worse. The age is measured by a clock that counts the time in
 //! which a machine is suspended. A response of the store that may have lain unread while its reader was
-//! frozen counts from the moment of the request ([`StallDetector`]).
+//! frozen counts from the moment of the request ([`FreezeDetector`]).
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 const LIMIT_FRACTION: f64 = 0.65;
 /// Time between two ticks after which the process counts as having been frozen; several times their usual
 /// distance.
-const STALL_MIN: Duration = Duration::from_millis(1200);
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1200);
 
 /// Where an instance gets updates of the store from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -234,13 +234,13 @@
 
 /// Regular ticks of a process, by which it notices that it was frozen.
 #[derive(Debug, Clone, Copy)]
-pub struct StallDetector {
+pub struct FreezeDetector {
     last: Duration,
     /// When the process last continued after it had been frozen.
     resumed: Option<Duration>,
 }
 
-impl StallDetector {
+impl FreezeDetector {
     /// Starts with a first tick.
     pub const fn new(now: Duration) -> Self {
         Self { last: now, resumed: None }
@@ -255,12 +255,12 @@
     }
 
     fn is_late(&self, now: Duration) -> bool {
-        now.saturating_sub(self.last) > STALL_MIN
+        now.saturating_sub(self.last) > FREEZE_THRESHOLD
     }
 
     /// Whether the process may have been frozen between a time and now. Its ticks and its other work continue
     /// in any order after that, so that an overdue tick counts as well.
-    pub fn stalled_since(&self, since: Duration, now: Duration) -> bool {
+    pub fn frozen_since(&self, since: Duration, now: Duration) -> bool {
         self.is_late(now) || self.resumed.is_some_and(|resumed| resumed >= since)
     }
 }
--- a/crates/routing/tests/all/store_updates.rs
+++ b/crates/routing/tests/all/store_updates.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
-use teaselshunt_routing::{Freshness, ReadNeed, StallDetector, UpdateEffect, UpdateSource};
+use teaselshunt_routing::{FreezeDetector, Freshness, ReadNeed, UpdateEffect, UpdateSource};
 
 const BOUND: Duration = Duration::from_secs(4);
 
@@ -76,15 +76,15 @@
 /// an endpoint that has left meanwhile. Which of the reader's tasks continues first is random.
 #[test]
 fn a_reader_that_was_frozen_notices_it() {
-    let mut detector = StallDetector::new(ms(0));
+    let mut detector = FreezeDetector::new(ms(0));
     for tick in 1..=20 {
         detector.tick(ms(tick * 400));
     }
-    assert!(!detector.stalled_since(ms(7_500), ms(8_300)));
-    assert!(detector.stalled_since(ms(7_500), ms(13_000)), "the response is read before the next tick");
+    assert!(!detector.frozen_since(ms(7_500), ms(8_300)));
+    assert!(detector.frozen_since(ms(7_500), ms(13_000)), "the response is read before the next tick");
     detector.tick(ms(13_000));
-    assert!(detector.stalled_since(ms(7_500), ms(13_001)), "the response is read after it");
-    assert!(!detector.stalled_since(ms(13_002), ms(13_100)), "another call was made since");
+    assert!(detector.frozen_since(ms(7_500), ms(13_001)), "the response is read after it");
+    assert!(!detector.frozen_since(ms(13_002), ms(13_100)), "another call was made since");
 }
 
 quickcheck! {
