--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -71,7 +71,7 @@
     /// Whether the endpoint gets no new work, because operators drain or removed it or because it is shutting
     /// down.
     pub leaving: bool,
-    /// Whether the endpoint is paused after failures.
+    /// Whether the endpoint is paused after failures, or does not answer polls of its load.
     pub paused: bool,
 }
 
@@ -116,9 +116,9 @@
     }
 
     fn usable(&self, now: Instant) -> bool {
-        let reached = self.unanswered_polls < UNANSWERED_POLLS_MAX
+        let reachable = self.unanswered_polls < UNANSWERED_POLLS_MAX
             && self.paused_until.is_none_or(|until| now >= until);
-        !self.is_leaving() && reached
+        !self.is_leaving() && reachable
     }
 
     fn load(&self) -> u32 {
@@ -477,8 +477,8 @@
     /// Records a failed step. Returns whether this failure paused the endpoint.
     ///
     /// Without the pause, every request would detect a failed endpoint by its own timeout, and callers would
-    /// see a series of slow responses. The pause is short and ends by itself, so that a wrong one costs
-    /// little.
+    /// see a series of slow responses. The pause is short and ends by itself, so that an unnecessary pause
+    /// costs little.
     pub(crate) fn observe_failure(&mut self, now: Instant, key: EndpointKey) -> bool {
         let entry = &mut self.endpoints[key];
         entry.consecutive_failures += 1;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -50,7 +50,7 @@
         if let Err(refusal) = self.charge(now, key) {
             return self.refuse(now, key, refusal, out);
         }
-        match self.requests.get(key).key {
+        match self.requests.get(key).caller_key {
             Some(_) => self.claim(now, key, out),
             None => self.admit(now, key, out),
         }
@@ -89,8 +89,8 @@
         Refusal::retryable(ErrorKind::Overloaded, wait)
     }
 
-    /// Refuses requests for which the new configuration has no endpoints, instead of at the end of their
-    /// wait.
+    /// Refuses waiting requests for which the new configuration has no endpoints. They would otherwise be
+    /// refused only at the end of their wait.
     pub(crate) fn refuse_unservable(&mut self, now: Instant, out: &mut Vec<Effect>) {
         let waiting =
             self.requests.iter().filter(|(_, r)| r.phase == Phase::Waiting && !self.has_endpoints(now, r));
@@ -435,7 +435,7 @@
         self.counters.abandoned += 1;
         self.caller_left(now, key);
         let request = self.requests.get_mut(key);
-        if request.key.is_some() && matches!(request.phase, Phase::Calling { .. }) {
+        if request.caller_key.is_some() && matches!(request.phase, Phase::Calling { .. }) {
             // The call has been sent and cannot be revoked. Its response is awaited for the caller's retry,
             // which will ask for it with the same key.
             request.caller_gone = true;
@@ -551,12 +551,12 @@
     pub(crate) fn expire_requests(&mut self, now: Instant, out: &mut Vec<Effect>) {
         while let Some(key) = self.requests.overdue(now) {
             let request = self.requests.get(key);
-            let late = now >= request.deadline;
+            let deadline_passed = now >= request.deadline;
             let (ran, phase) = (request.may_have_run(), request.phase);
             let refusal = match phase {
                 Phase::Claiming => Refusal::retryable(ErrorKind::KeyUnknown, RETRY_ELSEWHERE_AFTER),
-                _ if late && ran => Refusal::new(ErrorKind::DeadlinePassed),
-                _ if late => Refusal::new(ErrorKind::Expired),
+                _ if deadline_passed && ran => Refusal::new(ErrorKind::DeadlinePassed),
+                _ if deadline_passed => Refusal::new(ErrorKind::Expired),
                 _ if ran => Refusal::retryable(ErrorKind::EndpointFailed, RETRY_ELSEWHERE_AFTER),
                 _ => self.no_slot_refusal(now, request),
             };
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -38,19 +38,20 @@
 /// Time for which a report of a suspect endpoint counts; instances that still can't use the endpoint report
 /// it again.
 const SUSPICION_TTL: Duration = Duration::from_millis(700);
-/// Number of instances that must report an endpoint.
+/// Number of instances that must report an endpoint as suspect before it counts as suspected.
 const SUSPICION_QUORUM: usize = 2;
 
 /// Time for which a report counts that a decode engine runs a local prefill, about as long as the local
 /// prefill of a usual prompt takes.
 const LOCAL_PREFILL_TTL: Duration = Duration::from_millis(300);
 
+/// What an instance has in flight, by its last update.
 #[derive(Debug)]
-struct Account {
-    /// Incarnation of the sender, and sequence number of its last digest.
-    order: (u64, u64),
+struct PeerWork {
+    /// Incarnation of the sender, and sequence number of its last update.
+    last_update: (u64, u64),
     received: Instant,
-    /// Time without a digest after which the sender's work in flight counts as ended: the sender is dead,
+    /// Time without an update after which the sender's work in flight counts as ended: the sender is dead,
     /// frozen or partitioned, and engines stop work whose connection ends.
     failure_timeout: Duration,
     tokens: HashMap<EngineTag, u32>,
@@ -59,7 +60,7 @@
 /// Work that other instances have in flight; `P` names an instance.
 #[derive(Debug)]
 pub struct Ledger<P> {
-    accounts: HashMap<P, Account>,
+    peers: HashMap<P, PeerWork>,
     totals: HashMap<EngineTag, u64>,
     /// Instances that could not reach an endpoint lately, and when each reported it.
     suspicions: HashMap<EngineTag, HashMap<P, Instant>>,
@@ -70,7 +71,7 @@
 impl<P> Default for Ledger<P> {
     fn default() -> Self {
         Self {
-            accounts: HashMap::new(),
+            peers: HashMap::new(),
             totals: HashMap::new(),
             suspicions: HashMap::new(),
             local_prefills: HashMap::new(),
@@ -79,14 +80,14 @@
 }
 
 impl<P: Copy + Eq + std::hash::Hash> Ledger<P> {
-    /// Replaces all that an instance has in flight by its digest. The sender draws `incarnation` at random
-    /// when it starts, and `sequence` grows with each digest of that incarnation; a digest that is not newer
-    /// than the last one of the same incarnation is ignored.
+    /// Replaces all that an instance has in flight by what its update reports. The sender draws `incarnation`
+    /// at random when it starts, and `sequence` grows with each update of that incarnation; an update that is
+    /// not newer than the last one of the same incarnation is ignored.
     ///
     /// Two incarnations have no order. A clock would give one, but an instance that restarts after its clock
     /// went back would then be ignored until the clock has caught up, and others would take engines for empty
-    /// that it has filled. A digest of a previous incarnation that arrives after one of the next counts until
-    /// the next digest comes, a moment later.
+    /// that it has filled. An update of a previous incarnation that arrives after one of the next incarnation
+    /// counts until the next update arrives, a moment later.
     ///
     /// Returns whether the incarnation was not known, or not any more.
     pub fn update(
@@ -96,25 +97,27 @@
         (incarnation, sequence): (u64, u64),
         tokens: HashMap<EngineTag, u32>,
     ) -> bool {
-        let outdated = |a: &Account| a.order.0 == incarnation && a.order.1 >= sequence;
-        if self.accounts.get(&from).is_some_and(outdated) {
+        let outdated = |work: &PeerWork| work.last_update.0 == incarnation && work.last_update.1 >= sequence;
+        if self.peers.get(&from).is_some_and(outdated) {
             return false;
         }
-        let is_new = self.accounts.get(&from).is_none_or(|a| a.order.0 != incarnation);
-        self.drop_account(from);
+        let is_new = self.peers.get(&from).is_none_or(|work| work.last_update.0 != incarnation);
+        self.drop_peer(from);
         for (&tag, &count) in &tokens {
             *self.totals.entry(tag).or_default() += u64::from(count);
         }
         let failure_timeout = failure_timeout(Duration::ZERO);
-        self.accounts
-            .insert(from, Account { order: (incarnation, sequence), received: now, failure_timeout, tokens });
+        self.peers.insert(
+            from,
+            PeerWork { last_update: (incarnation, sequence), received: now, failure_timeout, tokens },
+        );
         is_new
     }
 
     /// Sets the longest time until an instance sends its next update.
     pub fn set_gossip_interval(&mut self, from: P, interval: Duration) {
-        if let Some(account) = self.accounts.get_mut(&from) {
-            account.failure_timeout = failure_timeout(interval);
+        if let Some(work) = self.peers.get_mut(&from) {
+            work.failure_timeout = failure_timeout(interval);
         }
     }
 
@@ -147,11 +150,11 @@
             !reports.is_empty()
         });
         self.local_prefills.retain(|_, at| now.duration_since(*at) < LOCAL_PREFILL_TTL);
-        let unresponsive = |a: &Account| now.duration_since(a.received) > a.failure_timeout;
+        let unresponsive = |work: &PeerWork| now.duration_since(work.received) > work.failure_timeout;
         let expired: Vec<P> =
-            self.accounts.iter().filter(|(_, a)| unresponsive(a)).map(|(&p, _)| p).collect();
+            self.peers.iter().filter(|(_, work)| unresponsive(work)).map(|(&p, _)| p).collect();
         for peer in expired {
-            self.drop_account(peer);
+            self.drop_peer(peer);
         }
     }
 
@@ -160,9 +163,9 @@
         self.totals.get(&tag).copied().unwrap_or(0)
     }
 
-    fn drop_account(&mut self, from: P) {
-        let Some(account) = self.accounts.remove(&from) else { return };
-        for (tag, count) in account.tokens {
+    fn drop_peer(&mut self, from: P) {
+        let Some(work) = self.peers.remove(&from) else { return };
+        for (tag, count) in work.tokens {
             if let Some(total) = self.totals.get_mut(&tag) {
                 *total = total.saturating_sub(u64::from(count));
             }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,8 +6,8 @@
 //! - `endpoints` keeps every `endpoint` with the `health_estimate` that its results have left, and chooses
 //!   among them; `removed` remembers incarnations of endpoints that are no longer listed.
 //! - `ledger` is the work that other instances have in flight.
-//! - `rates` keeps to the rates that endpoints advertise, and `refusals` counts the requests that are refused
-//!   because of them.
+//! - `rates` keeps the sends of the instances within the rates that endpoints advertise, and `refusals`
+//!   counts the requests that are refused because of them.
 //! - `prefill_estimate` learns how long prefill takes, and `output_estimate` how many tokens generations
 //!   produce.
 //! - `retry_detection` tells callers' retries from new requests, and `wait_policy` says how long a generation
@@ -56,5 +56,5 @@
 pub use sends::Sends;
 pub use snapshot_sources::{SnapshotSearch, SnapshotSources, SnapshotStep};
 pub use stages::{StageChange, plan_stage_changes};
-pub use store_updates::{Era, EraOrder, Freshness, ReadNeed, StallDetector, UpdateEffect, UpdateSource};
+pub use store_updates::{Era, EraOrder, FreezeDetector, Freshness, ReadNeed, UpdateEffect, UpdateSource};
 pub use wait_policy::{Backoff, WaitPolicy, retry_delay};
--- a/crates/routing/src/output_estimate.rs
+++ b/crates/routing/src/output_estimate.rs
@@ -2,18 +2,18 @@
 //!
 //! Callers estimate their output. The estimates are right at the median but often far off. An estimate that
 //! is far from the usual one is mostly wrong in that direction, so the true output lies between the two
-//! (regression to the mean). How far between is learned by a regression of logarithms: of the events that
-//! came on the tokens that were estimated. Since estimates are right at the median, the regression also gives
-//! the tokens in one event, which engines don't report.
+//! (regression to the mean). How far between is learned by a regression of logarithms: of the number of
+//! events received on the number of tokens estimated. Since estimates are right at the median, the means of
+//! the regression also give the tokens in one event, which engines don't report.
 
 /// Ended generations that count; some minutes of one instance, and enough for a steady slope.
 const SPAN: f64 = 200.0;
-/// Weight of the prior, that estimates are right, in generations.
+/// Weight of the prior assumption that estimates are right, in generations.
 const PRIOR: f64 = 10.0;
 /// Variance of the estimates' logarithms under the prior.
 const PRIOR_VARIANCE: f64 = 0.5;
 /// Generations that must have ended before the tokens in an event are estimated.
-const ENOUGH: f64 = 10.0;
+const GENERATIONS_MIN: f64 = 10.0;
 
 /// What has been learned of one service's generations.
 #[derive(Debug, Clone, Copy, Default)]
@@ -58,6 +58,6 @@
     /// Estimated tokens in so many events; `None` until enough generations have ended.
     pub fn tokens_for_events(&self, events: u32) -> Option<u64> {
         let tokens = (self.hint - self.events).exp() * f64::from(events);
-        (self.count >= ENOUGH).then_some(tokens.round() as u64)
+        (self.count >= GENERATIONS_MIN).then_some(tokens.round() as u64)
     }
 }
