--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -1,8 +1,8 @@
 //! Identifies callers and enforces their teams' rate limits.
 //!
-//! A request is charged when it is admitted, before it waits for anything, so that a team that floods takes
-//! no places in queues from other teams. The charge is refunded when the request ends and certainly has not
-//! run.
+//! A request is charged when it is admitted, before it waits for anything, so that a team that sends far more
+//! than its limit takes no places in queues from other teams. The charge is refunded when the request ends
+//! and certainly has not run.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -93,7 +93,7 @@
 }
 
 /// `Retry-After` delay. A request refused by a token bucket is one of many; with the same delay, all these
-/// callers would retry at once and find the bucket as empty.
+/// callers would retry at the same moment and find the bucket empty again.
 fn retry_delay(exceeded: LimitExceeded, fraction: f64) -> Duration {
     exceeded.wait + exceeded.backlog.mul_f64(fraction)
 }
--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -1,9 +1,9 @@
 //! Bodies of responses to callers.
 //!
 //! A caller may read slowly or not at all. A complete response is passed to its connection in pieces, so that
-//! its bytes stay accounted until nearly all are written. Of a stream a limited number of pieces waits, after
-//! which the endpoint is not read any further. [`ReadDeadline`] closes connections whose callers do not read
-//! their response until long after their deadline.
+//! its bytes stay accounted until nearly all are written. A limited number of pieces of a stream may wait;
+//! until one is taken, the endpoint is not read any further. [`ReadDeadline`] closes connections whose
+//! callers do not read their response until long after their deadline.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -119,7 +119,7 @@
     }
 }
 
-/// A body that arrives in pieces. Dropping it tells the sender that the caller has disconnected.
+/// A body that arrives in pieces. The sender notices a drop as the caller's disconnection.
 #[derive(Debug)]
 pub(crate) struct Relay {
     pieces: mpsc::Receiver<Piece>,
@@ -150,7 +150,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Disconnected;
 
-/// Fills a [`Relay`]. Dropping it before [`PieceSender::end`] breaks off the response.
+/// Fills a [`Relay`]. Dropping it before [`PieceSender::end`] truncates the response.
 #[derive(Debug)]
 pub(crate) struct PieceSender {
     sender: mpsc::Sender<Piece>,
@@ -158,7 +158,7 @@
 }
 
 impl PieceSender {
-    /// Passes on a piece as soon as the channel has room. If the instance has no buffer memory left, the
+    /// Passes on a piece as soon as the channel has space. If the instance has no buffer memory left, the
     /// caller must first have taken all earlier pieces.
     pub(crate) async fn send(&self, data: Bytes, mut buffered: BufferedBytes) -> Result<(), Disconnected> {
         if buffered.grow(data.len()).is_err() {
@@ -179,7 +179,7 @@
 }
 
 /// Creates a body and its sender.
-pub(crate) fn relay() -> (PieceSender, Relay) {
+pub(crate) fn relay_channel() -> (PieceSender, Relay) {
     let (sender, pieces) = mpsc::channel(MAX_WAITING_PIECES);
     let complete = Rc::new(Cell::new(false));
     (PieceSender { sender, complete: Rc::clone(&complete) }, Relay { pieces, complete })
--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -71,10 +71,11 @@
 const STARTUP_TIME: Duration = Duration::from_secs(4);
 /// Interval at which an instance polls whether the start of the system is over.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Half of the longest time over which the entries that endpoints write in one heartbeat interval are spread.
+/// Pause after a change during [`STARTUP_TIME`]: half of the longest time between the entries that endpoints
+/// write in one heartbeat interval.
 const STARTUP_COALESCE: Duration = Duration::from_millis(300);
-/// First and longest pause after a failure; the longest is well under the time in which a configuration must
-/// be active.
+/// First and longest pause after failed calls; the longest is well under the time in which a configuration
+/// must be active.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Time without a response, at a failed call, after which entries of live endpoints may have expired: shorter
@@ -124,7 +125,7 @@
     /// Peers that can serve a snapshot of the list.
     snapshot_sources: RefCell<SnapshotSources<SocketAddr>>,
     /// Recently changed entries.
-    changes: RefCell<RecentChanges>,
+    recent_changes: RefCell<RecentChanges>,
     /// Whether the changes of a partial snapshot did not match its checksum, so that only a complete snapshot
     /// is useful.
     diverged: Cell<bool>,
@@ -160,7 +161,7 @@
             revision: Cell::new(None),
             lost_revision: Cell::new(None),
             snapshot_sources: RefCell::default(),
-            changes: RefCell::default(),
+            recent_changes: RefCell::default(),
             diverged: Cell::new(false),
             era: Cell::default(),
             list_progress: RefCell::default(),
@@ -287,7 +288,7 @@
         self.era.set(era);
         self.revision.set(None);
         self.lost_revision.set(None);
-        *self.changes.borrow_mut() = RecentChanges::default();
+        *self.recent_changes.borrow_mut() = RecentChanges::default();
         *self.list_progress.borrow_mut() = ListProgress::default();
         let now = self.node.now();
         self.extend_expiry_window(now + ENTRY_RETURN_TIME);
@@ -396,7 +397,7 @@
                 let invalidate = |id: &Arc<str>| self.node.state.borrow_mut().endpoints.invalidate(id);
                 let withdrawn = endpoint.as_ref().is_some_and(invalidate);
                 if let Some(id) = endpoint.filter(|_| withdrawn) {
-                    self.changes.borrow_mut().record(revision, id);
+                    self.recent_changes.borrow_mut().record(revision, id);
                 }
                 warn!(self.node.log, "unreadable entry"; "key" => key, "cause" => cause, "withdrawn" => withdrawn);
             }
@@ -430,7 +431,7 @@
         }
         let is_new = matches!(outcome, UpsertOutcome::Started | UpsertOutcome::Changed);
         if outcome != UpsertOutcome::Unchanged {
-            self.changes.borrow_mut().record(revision, id);
+            self.recent_changes.borrow_mut().record(revision, id);
         }
         is_new
     }
@@ -453,7 +454,7 @@
     /// Handles the removal of an endpoint's entry. Shortly after the store's return the entry may have
     /// expired although the endpoint is live.
     fn remove_endpoint(&self, id: &Arc<str>, revision: u64) {
-        self.changes.borrow_mut().record(revision, Arc::clone(id));
+        self.recent_changes.borrow_mut().record(revision, Arc::clone(id));
         let now = self.node.now();
         let may_have_expired = self.expiry_window_end.get().is_some_and(|until| now < until);
         let mut state = self.node.state.borrow_mut();
--- a/crates/forward/src/catalog/listing.rs
+++ b/crates/forward/src/catalog/listing.rs
@@ -138,7 +138,7 @@
     pub(super) fn record_complete_list(&self, revision: u64) {
         self.revision.set(Some(revision));
         self.node.state.borrow_mut().list_complete = true;
-        self.changes.borrow_mut().start_at(revision);
+        self.recent_changes.borrow_mut().start_at(revision);
     }
 
     pub(super) fn remove_missing(&self, present: &HashSet<Arc<str>>, revision: u64) {
--- a/crates/forward/src/catalog/snapshot_server.rs
+++ b/crates/forward/src/catalog/snapshot_server.rs
@@ -22,8 +22,8 @@
 use crate::accept::accept;
 use crate::node::Node;
 
-/// Snapshots served at a time. One takes a fraction of a second on a slow link, and each recipient becomes a
-/// source.
+/// Snapshots served at a time. A transfer takes a fraction of a second on a slow link, and each recipient
+/// becomes a snapshot source.
 const MAX_TRANSFERS: u32 = 3;
 /// Idle timeout of a peer's connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
--- a/crates/forward/src/catalog/snapshots.rs
+++ b/crates/forward/src/catalog/snapshots.rs
@@ -1,14 +1,14 @@
 //! Snapshots of the complete list that instances of a failure domain serve to each other.
-//! [`teaselshunt_routing::SnapshotSources`] decides which instance asks which, and explains why.
+//! [`teaselshunt_routing::SnapshotSources`] decides which instance asks which peer, and explains why.
 //!
-//! An asker that knows the list as of some revision gets the changes since then, if the source still
-//! remembers them, with a checksum of the complete list. If the checksum of its own list then differs, it
-//! asks for the complete list.
+//! An instance that knows the list as of some revision gets the changes since then, if the source still
+//! remembers them, with a checksum of the complete list. If the checksum of the instance's own list then
+//! differs, the instance asks for the complete list.
 //!
 //! A snapshot carries the era and revision of its list and the age of the store's last confirmation. It
-//! contains only endpoints that the list alone confirms. While entries are unconfirmed here, because they may
-//! have expired or stand in a backup of the store, no snapshot is served: the recipient could not tell such
-//! entries from the others.
+//! contains only endpoints that the list confirms. While entries are unconfirmed at the source, because they
+//! may have expired or may only be part of a restored backup, no snapshot is served: the recipient could not
+//! tell such entries from the others.
 //!
 //! A snapshot is trusted like a store update: it comes from a peer of the same failure domain, which is not
 //! authenticated.
@@ -295,7 +295,7 @@
         if !state.endpoints.all_confirmed(self.node.now()) {
             return None;
         }
-        let changed = since.and_then(|since| self.changes.borrow().since(since));
+        let changed = since.and_then(|since| self.recent_changes.borrow().since(since));
         let listed = |id: &Arc<str>| state.endpoints.listed_by_id(id).cloned();
         let (listed, gone) = match &changed {
             None => (state.endpoints.listed().cloned().collect(), Vec::new()),
--- a/crates/forward/src/catalog/store_updates.rs
+++ b/crates/forward/src/catalog/store_updates.rs
@@ -13,11 +13,12 @@
 use super::{Catalog, ENTRY_RETURN_TIME};
 use crate::protocol::{Batch, StoreChange};
 
-/// Largest random fraction of the time for which an instance relies on the last update, by which it asks the
-/// store earlier: the first instance that asks sends the response to the others.
+/// Instances rely on the last update for a limited time. Each asks the store before that time ends, earlier
+/// by a random fraction of it, which is at most this large. The first instance that asks sends the response
+/// to the others.
 const EARLY_FRACTION: f64 = 0.15;
 /// Largest encoded changes that are sent to peers, in bytes: about two hundred entries of endpoints, in a
-/// datagram of a few packets. For longer ones peers get only the revision and ask for the changes themselves.
+/// datagram of a few packets. If changes are longer, peers get only the revision and ask for the changes.
 const MAX_UPDATE_BYTES: usize = 12 * 1024;
 
 /// A response of the store as it is sent to peers.
--- a/crates/forward/src/connection_pool.rs
+++ b/crates/forward/src/connection_pool.rs
@@ -34,8 +34,8 @@
 /// of a larger body unread and would parse the next request as this rest.
 const MAX_REUSE_BODY_BYTES: usize = 32 * 1024;
 
-/// Largest response head, and most of a body that is read at a time, in bytes: complete pieces of a response
-/// wait for a slow caller.
+/// Largest response head, and most of a body that is read at a time, in bytes. Pieces of up to this size wait
+/// in memory for a slow caller.
 const BUFFER_BYTES: usize = 32 * 1024;
 
 /// Why an exchange brought no response.
--- a/crates/forward/src/crashes.rs
+++ b/crates/forward/src/crashes.rs
@@ -7,7 +7,7 @@
 //!
 //! If a caller disconnects, this instance itself closes the connection to the endpoint, so that the endpoint
 //! is not checked. If the endpoint crashes at about that time, under other requests that this instance or a
-//! peer runs there, the abandoned request was present as well.
+//! peer runs there, the crash is attributed to the abandoned request as well.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/forward/src/generate.rs
+++ b/crates/forward/src/generate.rs
@@ -115,8 +115,8 @@
     mut tried: Vec<EndpointKey>,
 ) -> Result<(Answer, InFlightWork), Refusal> {
     let mut sends = Sends::default();
-    // Whether an engine may have run the request. If so, a refusal must not state that it has not.
-    let mut ran = false;
+    // If an engine may have run the request, a refusal must not state that the request has not run.
+    let mut may_have_run = false;
     for _ in 0..MAX_ROUNDS {
         let state = match prompt {
             Prompt::NotPrefilled => PromptState::NotPrefilled,
@@ -126,12 +126,12 @@
         let search = CapacitySearch { wait_policy, prompt: state, tried: &tried };
         let mut reserved = match reserve(node, job, trace, search).await {
             Ok(reserved) => reserved,
-            Err(_) if ran => break,
+            Err(_) if may_have_run => break,
             Err(refusal) => return Err(refusal),
         };
         // A search for capacity and a prefill take long enough for peers to report crashes under the request.
         match node.quarantined(job) {
-            Some(refusal) if !ran => return Err(refusal),
+            Some(refusal) if !may_have_run => return Err(refusal),
             Some(_) => break,
             None => {}
         }
@@ -173,7 +173,7 @@
             }
             Err(StepFailure::Broken | StepFailure::TimedOut) => {
                 sends.count();
-                ran = true;
+                may_have_run = true;
                 let resumable = job.route.repeat == (Repeat::Stream { resumable: true });
                 if node.now() >= job.deadline {
                     return Err(Refusal::new(ErrorKind::DeadlinePassed));
@@ -186,7 +186,7 @@
         }
         tried.push(reserved.endpoint);
     }
-    if ran {
+    if may_have_run {
         return Err(Refusal::new(ErrorKind::OutcomeUnknown));
     }
     Err(Refusal::retryable(ErrorKind::Overloaded, REFUSED_RETRY))
--- a/crates/forward/src/gossip.rs
+++ b/crates/forward/src/gossip.rs
@@ -1,15 +1,15 @@
 //! Gossip between instances in datagrams: the load that each sends to engines, the known peers, and store
 //! updates.
 //!
-//! There is no list of instances, only the seeds: the addresses of a few, of which some may have ended. Each
-//! instance sends reports to the seeds. Every datagram names some other peers, so that after some rounds all
-//! instances know all others. A peer that stays unresponsive is removed.
+//! There is no list of instances. An instance starts with the seeds: the addresses of a few instances, some
+//! of which may have ended. Each instance sends reports to the seeds. Every datagram names some other peers,
+//! so that after some rounds all instances know all others. A peer that stays unresponsive is removed.
 //!
-//! Gossip uses plain datagrams and not QUIC: a report is outdated after a moment, the next one makes up for a
-//! lost one, and the platform provides no keys for a handshake. A forged report can make choices worse, or
-//! have a request refused for a while; it cannot make a request run twice or a refusal false. A forged store
-//! update could send work to the wrong endpoint. Store updates are therefore accepted only from known peers
-//! of the same failure domain, but no peer is authenticated.
+//! Gossip uses plain datagrams and not QUIC: a report is outdated after a moment, a lost report is made up
+//! for by the next report, and the platform provides no keys for a handshake. A forged report can make
+//! choices worse, or have a request refused for a while; it cannot make a request run twice or a refusal
+//! false. A forged store update could send work to the wrong endpoint. Store updates are therefore accepted
+//! only from known peers of the same failure domain, but no peer is authenticated.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/forward/src/listeners.rs
+++ b/crates/forward/src/listeners.rs
@@ -85,9 +85,9 @@
 
 /// Waits until idle connections are to be closed.
 ///
-/// This is a separate function because the return value of `wait_for` holds a lock on the phase. When the
-/// lock was held while a connection ended, it blocked the whole process at the next change of phase: streams
-/// in progress froze until the process was killed.
+/// This is a separate function because the return value of `wait_for` holds a lock on the phase. If the lock
+/// were held until a connection ends, the next change of phase would block the whole process, and streams in
+/// progress would freeze until the process is killed.
 async fn wait_for_closing(mut phase: watch::Receiver<Phase>) {
     // An error means that the process is ending, which also closes connections.
     let _ = phase.wait_for(|p| *p >= Phase::Closing).await;
--- a/crates/forward/src/orders.rs
+++ b/crates/forward/src/orders.rs
@@ -1,10 +1,10 @@
 //! Orders engines to change their stage.
 //!
 //! Two instances that order the same engine would undo each other's orders, and there is no store in which
-//! they could agree on one. Only one process therefore ever gives orders: the process of the first instance
-//! in the list of seeds that started with the first start of the whole system. If this process ends, no
-//! orders are given any more; stages then stay as they are, which costs throughput but breaks nothing. If the
-//! process is frozen or partitioned and returns, it is still the only one.
+//! they could agree on which of them gives orders. Only one process therefore ever gives orders: the process
+//! of the first instance in the list of seeds that started with the first start of the whole system. If this
+//! process ends, no orders are given any more; stages then stay as they are, which costs throughput but
+//! breaks nothing. If the process is frozen or partitioned and returns, it is still the only one.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -26,8 +26,9 @@
 /// Like [`STEADY_POLLS`], after the first orders: endpoints that return after a network partition or a
 /// release must not be counted while they return.
 const STEADY_POLLS_SERVING: u32 = 8;
-/// Orders that may wait for their responses at a time. Among thousands of engines a thousand are ordered.
-/// Sequential orders would last until callers arrive, which would then meet engines that change their stage.
+/// Orders that may wait for their responses at a time. Of thousands of engines about a thousand get an order.
+/// Orders one after the other would still be in progress when callers arrive, and callers would get engines
+/// that are changing their stage.
 const CONCURRENT_ORDERS: usize = 16;
 /// Longest time to wait for the response to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/forward/src/plain.rs
+++ b/crates/forward/src/plain.rs
@@ -62,14 +62,14 @@
     }
 }
 
-/// Endpoints that a request was sent to, and the effect.
+/// Attempts of a request: their endpoints, and how far the request got.
 #[derive(Debug, Default)]
 struct AttemptLog {
     endpoints: Vec<EndpointKey>,
     /// Attempts whose request may have reached an endpoint.
     sent: u32,
-    /// Whether one of these attempts may have run.
-    ran: bool,
+    /// Whether an endpoint may have run the request.
+    may_have_run: bool,
 }
 
 impl AttemptLog {
@@ -79,19 +79,19 @@
             Err(StepFailure::Refused | StepFailure::Misdirected) => self.sent += 1,
             Ok(_) | Err(StepFailure::Broken | StepFailure::TimedOut) => {
                 self.sent += 1;
-                self.ran = true;
+                self.may_have_run = true;
             }
         }
     }
 
     /// The refusal when no further attempt is allowed.
     fn exhausted_refusal(&self, node: &Node, job: &Job, trace: &Trace) -> Refusal {
-        if !self.ran
+        if !self.may_have_run
             && let Some(refusal) = rates::refusal(node, job, trace, None)
         {
             return refusal;
         }
-        match (self.ran, self.sent) {
+        match (self.may_have_run, self.sent) {
             (true, _) => Refusal::new(unknown_outcome(node, job)),
             (false, 0) => Refusal::retryable(ErrorKind::NoEndpoint, NO_ENDPOINT_RETRY),
             (false, _) => Refusal::retryable(ErrorKind::Overloaded, ALL_FULL_RETRY),
@@ -118,60 +118,60 @@
     node: &Rc<Node>,
     job: &Job,
     trace: &Trace,
-    mut tried: AttemptLog,
+    mut attempts: AttemptLog,
 ) -> Result<Outcome, Refusal> {
     let mut last = None;
-    while node.now() < job.deadline && tried.endpoints.len() < MAX_UNREACHABLE + tried.sent as usize {
+    while node.now() < job.deadline && attempts.endpoints.len() < MAX_UNREACHABLE + attempts.sent as usize {
         match node.quarantined(job) {
-            Some(refusal) if !tried.ran => return Err(refusal),
+            Some(refusal) if !attempts.may_have_run => return Err(refusal),
             Some(_) => break,
             None => {}
         }
-        let is_further_attempt = tried.sent > 0;
-        if is_further_attempt && tried.sent >= job.route.attempts {
+        let is_further_attempt = attempts.sent > 0;
+        if is_further_attempt && attempts.sent >= job.route.attempts {
             break;
         }
-        let Some(key) = rates::choose(node, job, &tried.endpoints).await else { break };
+        let Some(key) = rates::choose(node, job, &attempts.endpoints).await else { break };
         if is_further_attempt && !node.take_attempt(&job.service) {
             break;
         }
-        tried.endpoints.push(key);
+        attempts.endpoints.push(key);
         let result = attempt(node, job, key, trace).await;
-        tried.count(&result);
-        if is_good(&result) || (tried.ran && job.route.repeat != Repeat::Idempotent) {
-            return result.map_err(|_| tried.exhausted_refusal(node, job, trace));
+        attempts.count(&result);
+        if is_good(&result) || (attempts.may_have_run && job.route.repeat != Repeat::Idempotent) {
+            return result.map_err(|_| attempts.exhausted_refusal(node, job, trace));
         }
         last = result.ok().or(last);
     }
-    last.ok_or_else(|| tried.exhausted_refusal(node, job, trace))
+    last.ok_or_else(|| attempts.exhausted_refusal(node, job, trace))
 }
 
 /// Like [`sequential`], with a second attempt in parallel if the first is slow.
 async fn hedged(node: &Rc<Node>, job: &Job, trace: &Trace) -> Result<Outcome, Refusal> {
-    let mut tried = AttemptLog::default();
+    let mut attempts = AttemptLog::default();
     let Some(key) = rates::choose(node, job, &[]).await else {
-        return Err(tried.exhausted_refusal(node, job, trace));
+        return Err(attempts.exhausted_refusal(node, job, trace));
     };
-    tried.endpoints.push(key);
+    attempts.endpoints.push(key);
     let mut first = Box::pin(attempt(node, job, key, trace));
     let wait = job.arrived + job.route.goal.mul_f64(HEDGE_FRACTION);
     if let Ok(result) = tokio::time::timeout_at(wait.into(), &mut first).await {
-        tried.count(&result);
+        attempts.count(&result);
         if is_good(&result) {
-            return result.map_err(|_| tried.exhausted_refusal(node, job, trace));
+            return result.map_err(|_| attempts.exhausted_refusal(node, job, trace));
         }
-        return match (sequential(node, job, trace, tried).await, result) {
+        return match (sequential(node, job, trace, attempts).await, result) {
             (Err(_), Ok(answer)) => Ok(answer),
             (outcome, _) => outcome,
         };
     }
-    let need = Need { tried: &tried.endpoints, hedge: true, ..node.need(&job.service.name) };
+    let need = Need { tried: &attempts.endpoints, hedge: true, ..node.need(&job.service.name) };
     let other = node.choose_for(need);
     let allowed = |_: &EndpointKey| node.quarantined(job).is_none() && node.take_attempt(&job.service);
     let Some(other) = other.filter(allowed) else {
         let result = first.await;
-        tried.count(&result);
-        return result.map_err(|_| tried.exhausted_refusal(node, job, trace));
+        attempts.count(&result);
+        return result.map_err(|_| attempts.exhausted_refusal(node, job, trace));
     };
     trace.record_step("hedge", "", "begun");
     let mut second = Box::pin(attempt(node, job, other, trace));
@@ -179,13 +179,13 @@
         result = &mut first => (result, true),
         result = &mut second => (result, false),
     };
-    tried.count(&earlier);
+    attempts.count(&earlier);
     if is_good(&earlier) {
-        return earlier.map_err(|_| tried.exhausted_refusal(node, job, trace));
+        return earlier.map_err(|_| attempts.exhausted_refusal(node, job, trace));
     }
     let later = if first_ended { second.await } else { first.await };
-    tried.count(&later);
-    later.or(earlier).map_err(|_| tried.exhausted_refusal(node, job, trace))
+    attempts.count(&later);
+    later.or(earlier).map_err(|_| attempts.exhausted_refusal(node, job, trace))
 }
 
 /// One attempt at one endpoint.
--- a/crates/forward/src/requests.rs
+++ b/crates/forward/src/requests.rs
@@ -22,8 +22,8 @@
 use crate::trace::Trace;
 use crate::{generate, headers, plain};
 
-/// `Retry-After` delay if buffers for slow callers are full: other requests may hold less, and callers will
-/// have read some of the buffered bytes by then.
+/// `Retry-After` delay if the buffer memory is full: the retry may reach another instance, which may buffer
+/// less, and callers will have read some of the buffered bytes by then.
 const BUFFERS_FULL_RETRY: Duration = Duration::from_millis(200);
 /// Time after the caller's deadline within which the caller must have read its response. Responses are still
 /// delivered after the deadline.
@@ -145,11 +145,11 @@
         trace.set_fingerprint(job.fingerprint());
         return refuse(node, refusal, trace);
     }
-    let is_staged = job.service.engine.is_some() && has_decode_engines(node, &job);
+    let is_staged = job.service.engine.is_some() && has_open_decode_engine(node, &job);
     if is_staged { generate::run(node, job, trace).await } else { plain::run(node, job, trace).await }
 }
 
-fn has_decode_engines(node: &Node, job: &Job) -> bool {
+fn has_open_decode_engine(node: &Node, job: &Job) -> bool {
     let state = node.state.borrow();
     state.endpoints.open(node.now(), &job.service.name).any(|e| e.stage == Some(Stage::Decode))
 }
--- a/crates/forward/src/reservations.rs
+++ b/crates/forward/src/reservations.rs
@@ -46,11 +46,11 @@
 /// Which engine prefills the prompt of a generation that searches for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PromptState {
-    /// A prefill engine will, once capacity is reserved.
+    /// A prefill engine, once capacity is reserved.
     NotPrefilled,
-    /// A prefill engine has.
+    /// A prefill engine, which has already done so.
     Prefilled,
-    /// The decode engine will (local prefill).
+    /// The decode engine (local prefill).
     LocalPrefill,
 }
 
@@ -127,8 +127,8 @@
                     sleep_about(node, backoff.after_refusal()).await;
                 } else {
                     trace.record_step("reserve", &node.id_for_log(key), outcome);
-                    // An engine that is gone fails at once; without a pause, a sole engine would be asked in
-                    // a tight loop.
+                    // An engine that has ended fails at once; without a pause, a sole engine would be asked
+                    // in a tight loop.
                     sleep_about(node, backoff.pause()).await;
                 }
             }
@@ -247,7 +247,7 @@
 /// Whether a prefill that begins now, at the engine with the least in flight, is expected to end while the
 /// first event can still be on time.
 ///
-/// Prompts that were sent anyway would also make those queued behind them late, and a prefill that ends too
+/// A prompt that is sent anyway would also delay the prompts queued behind it, and a prefill that ends too
 /// late is wasted.
 fn prefill_in_time(node: &Node, job: &Job, wait_policy: WaitPolicy) -> bool {
     let prompt = job.meta.prompt_tokens;
--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -14,7 +14,7 @@
 use slog::info;
 use teaselshunt_routing::{BodyKind, Repeat, StepOutcome};
 
-use crate::body::{PieceSender, ResponseBody, relay as relay_channel};
+use crate::body::{PieceSender, ResponseBody, relay_channel};
 use crate::buffering::BufferedBytes;
 use crate::crashes;
 use crate::generate;
--- a/crates/forward/src/supervisor.rs
+++ b/crates/forward/src/supervisor.rs
@@ -38,7 +38,7 @@
 /// Time after which no stream is started: started requests must end within the grace time, and streams take
 /// seconds.
 const STREAM_REFUSAL_TIME: Duration = Duration::from_millis(2850);
-/// Final time of the grace time in which no request is started; longer than the usual timeout of short
+/// Part at the end of the grace time in which no request is started; longer than the usual timeout of short
 /// requests.
 const FINAL_REFUSAL_TIME: Duration = Duration::from_millis(1800);
 /// Time reserved at the end of the grace time for the process to exit by itself.
@@ -149,7 +149,7 @@
     TcpListener::bind(address).await.map_err(|error| StartError::Listen { address, error })
 }
 
-/// Starts a task. If the task panics the process exits: an instance without one of its tasks would answer
+/// Starts a task. If the task panics, the process exits: an instance without one of its tasks would answer
 /// callers with misleading refusals, while a new process starts quickly.
 fn spawn(node: &Rc<Node>, name: &'static str, task: impl Future<Output = ()> + 'static) {
     let log = node.log.clone();
