--- a/crates/daemon/src/driver/call.rs
+++ b/crates/daemon/src/driver/call.rs
@@ -15,9 +15,9 @@
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Maximum age of a command to call a service; an older command is not executed.
 ///
-/// A process can be frozen between the decision and the write to the socket. When it resumes much later,
-/// other instances may have answered for the request already, so it must not send the call. The age is
-/// checked directly before the write. The short time between the check and the write remains; only the
+/// A process can be frozen between the decision and the write to the socket. When the process resumes much
+/// later, other instances may have answered for the request already, so that the call must not be sent. The
+/// age is checked directly before the write. The short time between the check and the write remains; only the
 /// service itself can cover it, by the idempotency key that it receives.
 const COMMAND_MAX_AGE: Duration = Duration::from_secs(1);
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -138,21 +138,21 @@
 
     fn update(&self, view: &InstanceView) {
         let counts = &view.counters;
-        set(&self.arrived, counts.arrived);
-        set(&self.abandoned, counts.abandoned);
-        set(&self.replayed, counts.replayed);
-        set(&self.retried, counts.retried);
-        set(&self.resumed, counts.resumed);
-        set(&self.orphans, counts.orphans);
+        raise_to(&self.arrived, counts.arrived);
+        raise_to(&self.abandoned, counts.abandoned);
+        raise_to(&self.replayed, counts.replayed);
+        raise_to(&self.retried, counts.retried);
+        raise_to(&self.resumed, counts.resumed);
+        raise_to(&self.orphans, counts.orphans);
         for (code, &count) in &counts.refused {
-            set(&self.refused.with_label_values(&[code]), count);
+            raise_to(&self.refused.with_label_values(&[code]), count);
         }
         for ((class, site), count) in &counts.classes {
             let labels = [class.as_str(), site.as_str()];
-            set(&self.answered.with_label_values(&labels), count.answered);
-            set(&self.good.with_label_values(&labels), count.good);
-            set(&self.prefilled.with_label_values(&labels), count.prefilled_tokens);
-            set(&self.wasted.with_label_values(&labels), count.wasted_tokens);
+            raise_to(&self.answered.with_label_values(&labels), count.answered);
+            raise_to(&self.good.with_label_values(&labels), count.good);
+            raise_to(&self.prefilled.with_label_values(&labels), count.prefilled_tokens);
+            raise_to(&self.wasted.with_label_values(&labels), count.wasted_tokens);
         }
         self.version.set(view.version as i64);
         self.revision.set(view.revision as i64);
@@ -199,7 +199,7 @@
 }
 
 /// Raises a counter to the core's total. The core's counters only rise, so the difference is never negative.
-fn set(counter: &IntCounter, total: u64) {
+fn raise_to(counter: &IntCounter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -110,14 +110,14 @@
 
 /// Query parameters of `/audit`.
 #[derive(Debug, Deserialize)]
-struct From {
+struct AuditQuery {
     /// Sequence number of the first line to return.
     #[serde(default)]
     from: u64,
 }
 
 #[handler]
-fn audit(Data(api): Data<&OperatorApi>, Query(query): Query<From>) -> Response {
+fn audit(Data(api): Data<&OperatorApi>, Query(query): Query<AuditQuery>) -> Response {
     Response::builder().content_type("application/x-ndjson").body(api.trail.lines(query.from))
 }
 
--- a/crates/daemon/src/tls.rs
+++ b/crates/daemon/src/tls.rs
@@ -15,7 +15,7 @@
 use teaselshunt_settings::Keys;
 
 /// Time without any packet from the peer after which a connection is closed. Heartbeats are sent every
-/// second, so a connection whose state a network device has lost is replaced after three of them.
+/// second, so a connection whose state a network device has lost is replaced after three lost heartbeats.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Application protocol of the handshake (ALPN). Only peers of the same protocol version connect to each
 /// other.
