--- a/crates/standin/src/commands/platform.rs
+++ b/crates/standin/src/commands/platform.rs
@@ -1,4 +1,4 @@
-//! `platform`: runs the platform in a process.
+//! `platform`: runs a stand-in platform in a process.
 
 use std::net::SocketAddr;
 
--- a/crates/standin/src/engine/gate.rs
+++ b/crates/standin/src/engine/gate.rs
@@ -12,7 +12,7 @@
     waiting: BTreeMap<(u8, u64), oneshot::Sender<Permit>>,
 }
 
-/// A fixed number of permits. The lowest priority value comes first.
+/// A fixed number of permits. The lowest priority value is served first.
 #[derive(Debug, Clone)]
 pub(crate) struct PrioritySemaphore {
     inner: Arc<Mutex<Inner>>,
@@ -66,7 +66,7 @@
             next
         };
         if let Some((_, sender)) = next {
-            // If the waiter is gone, `send` returns the permit, and dropping that permit releases it.
+            // If the waiting task has ended, `send` returns the permit, and dropping that permit releases it.
             drop(sender.send(Permit { semaphore: self.semaphore.clone() }));
         }
     }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// A connection that reads a stream. `next` is the offset of its next token.
+/// A connection that reads a stream. `next` is the offset of the next token for this connection.
 struct StreamReader {
     state: Arc<State>,
     id: String,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -23,15 +23,15 @@
 pub struct EngineOptions {
     /// Prefill or decode.
     pub role: Role,
-    /// Requests that it runs at the same time.
+    /// Requests that the engine runs at the same time.
     pub slots: u32,
     /// Prompt tokens prefilled a second.
     pub prefill_tokens_per_s: u32,
-    /// Time between two tokens while one request runs; half as long again with a full batch.
+    /// Time between two tokens while one request runs; up to one and a half times as long with a full batch.
     pub token_gap: Duration,
     /// How long a prefill result is kept.
     pub result_ttl: Duration,
-    /// Bandwidth of its link, in bytes a second.
+    /// Bandwidth of the engine's link, in bytes a second.
     pub link_bytes_per_s: u64,
     /// Bytes of KV cache for each prompt token.
     pub kv_bytes_per_token: u64,
@@ -82,7 +82,7 @@
     pub drop: bool,
     /// New steps are refused as busy.
     pub refuse: bool,
-    /// New steps are refused, and load reports say that the engine is leaving.
+    /// New steps are refused, and load reports state that the engine is leaving.
     pub leaving: bool,
     /// Prefill results are evicted at once.
     pub evict: bool,
@@ -114,17 +114,17 @@
         Ok(Self { state, server, maintenance })
     }
 
-    /// Address on which it listens.
+    /// Address on which the engine listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Replaces its faults.
+    /// Replaces the engine's faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
-    /// Ids of the requests that it holds memory for now.
+    /// Ids of the requests that the engine holds memory for now.
     pub fn held_requests(&self) -> Vec<String> {
         self.state.held_requests()
     }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Accepts a prefill; `false` if the engine is full. Twice as many prefills as it has slots may wait.
+    /// Accepts a prefill; `false` if the engine is full. Twice as many prefills as the engine has slots may
+    /// wait.
     pub(crate) fn begin_prefill(&self, id: &str) -> bool {
         let mut inner = self.lock();
         let accepted = inner.held.values().filter(|h| matches!(h, Held::Prefilling)).count();
@@ -204,7 +205,7 @@
         true
     }
 
-    /// Turns an imported cache into a stream, and returns it with the number of its reader.
+    /// Turns an imported cache into a stream, and returns the stream with the number of its reader.
     pub(crate) fn begin_stream(&self, id: &str, length: impl Fn(&str) -> u32) -> Option<(Stream, u32)> {
         let mut inner = self.lock();
         let held = inner.held.get_mut(id)?;
@@ -223,7 +224,8 @@
         Some((stream, 1))
     }
 
-    /// Resumes a stream under a new id; the connection that reads it under the old id gets nothing more.
+    /// Resumes a stream under a new id; the connection that reads the stream under the old id gets nothing
+    /// more.
     pub(crate) fn resume(&self, old_id: &str, id: &str) -> Option<(Stream, u32)> {
         let mut inner = self.lock();
         if !matches!(inner.held.get(old_id), Some(Held::Stream(_))) {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for what the system talks to: engines, plain services, the platform, and a network between
-//! two processes.
+//! Small stand-ins for what surrounds the system: engines, plain services, the platform, and a network
+//! between two processes.
 //!
 //! The stand-ins implement the published protocols of docs/ENGINE.md and docs/PLATFORM.md and nothing beyond
 //! them. Tests, the quickstart and experiments use them, inside a test process or as processes of their own.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,7 @@
 //! A stand-in for the platform: numbered configurations and the list of instances, to read and to watch.
 //!
-//! The platform accepts operators' patches against a base version. The system itself never writes to it.
+//! The platform accepts operators' patches against a base version. The system itself never writes to the
+//! platform.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -65,12 +66,12 @@
         Ok(Self { state, server })
     }
 
-    /// Address on which it listens.
+    /// Address on which the platform listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Publishes a configuration without validating it, whatever its version.
+    /// Publishes a configuration with any version, without validation.
     pub fn publish(&self, text: &str) {
         self.state.configuration.send_replace(Document { number: version(text), text: text.to_owned() });
     }
@@ -80,8 +81,8 @@
         self.state.instances.send_replace(Document { number: revision, text: text.to_owned() });
     }
 
-    /// Starts or ends an outage. Watches that wait when it starts get 503. Calls during the outage get no
-    /// response until it ends, and then 503.
+    /// Starts or ends an outage. Watches that wait when the outage starts get 503. Calls during the outage
+    /// get no response until the outage ends, and then 503.
     pub fn set_outage(&self, down: bool) {
         self.state.outage.send_replace(down);
     }
@@ -170,7 +171,7 @@
     state.outage.send_replace(down);
 }
 
-/// Accepts an operator's patch only against the published version, and only if its result is valid.
+/// Accepts an operator's patch only against the published version, and only if the result is valid.
 #[handler]
 fn accept_patch(Data(state): Data<&Arc<State>>, Json(patch): Json<Patch>) -> Response {
     let mut outcome = Err(String::new());
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -41,7 +41,7 @@
         Ok(Self { address, mode, opened, task })
     }
 
-    /// Address on which it listens.
+    /// Address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -57,7 +57,8 @@
         self.mode.send_modify(|m| m.blackholed_up_to = opened);
     }
 
-    /// Starts or heals a network partition. Connections that were open stay black-holed after it heals.
+    /// Starts or ends a network partition. Connections that were open stay black-holed after the partition
+    /// has ended.
     pub fn set_partitioned(&self, partitioned: bool) {
         let opened = self.connections_opened();
         self.mode.send_modify(|m| {
@@ -101,8 +102,8 @@
     }
 }
 
-/// Forwards bytes until one end closes. Once its connection is black-holed, it forwards nothing more and
-/// closes neither end.
+/// Forwards bytes until one end closes. Once the connection is black-holed, nothing more is forwarded and
+/// neither end is closed.
 async fn forward<R, W>(mut from: R, mut to: W, number: u64, mut mode: watch::Receiver<Mode>)
 where
     R: AsyncReadExt + Unpin,
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -7,7 +7,7 @@
 use poem::{IntoEndpoint, Response, Server};
 use tokio::task::JoinHandle;
 
-/// A running server; it stops when dropped.
+/// A running server; dropping it stops the server.
 #[derive(Debug)]
 pub(crate) struct ServerHandle {
     pub(crate) address: SocketAddr,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -71,12 +71,12 @@
         Ok(Self { state, server })
     }
 
-    /// Address on which it listens.
+    /// Address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Replaces its faults.
+    /// Replaces the service's faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         *lock(&self.state.faults) = faults;
     }
--- a/crates/standin/src/site/configuration.rs
+++ b/crates/standin/src/site/configuration.rs
@@ -28,9 +28,9 @@
 /// A team of the configuration with teams.
 #[derive(Debug, Clone, Copy)]
 pub struct SiteTeam {
-    /// Its name.
+    /// Name of the team.
     pub name: &'static str,
-    /// The key that its callers send.
+    /// Key that the team's callers send.
     pub key: &'static str,
     /// Rate limit in requests a second, and the size of a burst in requests; 0 for no limit.
     pub rate_per_s: u64,
--- a/crates/standin/src/site/endpoint.rs
+++ b/crates/standin/src/site/endpoint.rs
@@ -23,7 +23,7 @@
 pub struct SiteOptions {
     /// Id of this incarnation.
     pub id: String,
-    /// Its service.
+    /// Service of the endpoint.
     pub service: String,
     /// Failure domain.
     pub domain: String,
@@ -35,11 +35,11 @@
     pub event_count: u32,
     /// Time between events.
     pub event_gap: Duration,
-    /// Largest reservation that it grants, in tokens. Reservations that are open are not added up.
+    /// Largest reservation that the endpoint grants, in tokens. Open reservations are not added up.
     pub reservable_tokens: u64,
 }
 
-/// A fault of an endpoint, until it is changed.
+/// A fault of an endpoint. The fault lasts until another one is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SiteFault {
     /// No fault.
@@ -55,7 +55,7 @@
     Extra,
     /// Responds with status 500.
     Fail,
-    /// Breaks streams off after this many events, in the middle of the next one.
+    /// Truncates streams after this many events, in the middle of the next event.
     Cut(u32),
     /// Sends responses without a length, which end with the connection.
     Unframed,
@@ -68,7 +68,7 @@
 pub struct SiteExecution {
     /// The caller's request id.
     pub request_id: String,
-    /// Whether it was a prefill only.
+    /// Whether the endpoint only prefilled the prompt.
     pub prefill: bool,
     /// The event after which a stream was resumed.
     pub resume_after: Option<u32>,
@@ -76,7 +76,7 @@
     pub team: Option<String>,
     /// An `Authorization` header that was forwarded.
     pub authorization: Option<String>,
-    /// When it started to run.
+    /// When the request started to run.
     pub started_at: Instant,
 }
 
@@ -92,13 +92,13 @@
     orders: Vec<Value>,
     fault: SiteFault,
     address_released: bool,
-    /// The `Server-Limit` of its responses.
+    /// The `Server-Limit` of the endpoint's responses.
     advertised_limit: Option<String>,
-    /// When each request arrived, whether it ran or not.
+    /// When each request arrived, whether the request ran or not.
     arrivals: Vec<Instant>,
 }
 
-/// A running endpoint; it stops when dropped.
+/// A running endpoint; dropping it stops the endpoint.
 #[derive(Debug)]
 pub struct SiteEndpoint {
     options: SiteOptions,
@@ -123,39 +123,39 @@
         Ok(Self { options, address, inner, task, crashed })
     }
 
-    /// Address on which it listens.
+    /// Address on which the endpoint listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a request has crashed it. A crashed endpoint no longer listens.
+    /// Whether a request has crashed the endpoint. A crashed endpoint no longer listens.
     pub fn has_crashed(&self) -> bool {
         *self.crashed.borrow()
     }
 
-    /// Turns to `true` when a request crashes it.
+    /// A signal that turns to `true` when a request crashes the endpoint.
     pub fn crash_signal(&self) -> watch::Receiver<bool> {
         self.crashed.clone()
     }
 
-    /// Its id.
+    /// Id of the endpoint.
     pub fn id(&self) -> &str {
         &self.options.id
     }
 
-    /// Its stage, for an engine.
+    /// Stage of an engine; `None` for a plain service.
     pub fn stage(&self) -> Option<&'static str> {
         self.options.stage
     }
 
-    /// Its entry in the store, with `address` as its address.
+    /// The endpoint's entry in the store, with `address` as its address.
     pub fn entry(&self, address: SocketAddr, state: &str) -> Value {
         let SiteOptions { service, domain, stage, .. } = &self.options;
         json!({ "service": service, "address": address, "zone": domain, "version": "v1", "slots": 8,
             "state": state, "cold_left_ms": 0, "stage": stage, "sequence": 1 })
     }
 
-    /// Every request that it ran.
+    /// Every request that the endpoint ran.
     pub fn executions(&self) -> Vec<SiteExecution> {
         self.lock().executions.clone()
     }
@@ -171,28 +171,28 @@
         inner.holds.len() + inner.handles.len()
     }
 
-    /// Every order that it received.
+    /// Every order that the endpoint received.
     pub fn orders(&self) -> Vec<Value> {
         self.lock().orders.clone()
     }
 
-    /// Replaces its fault.
+    /// Replaces the endpoint's fault.
     pub fn set_fault(&self, fault: SiteFault) {
         self.lock().fault = fault;
     }
 
-    /// Sets the `Server-Limit` of its responses, or removes the header. The limit is a text, since tests send some that
-    /// are not numbers.
+    /// Sets the `Server-Limit` of further responses, or removes the header. The limit is a text, since tests send some
+    /// that are not numbers.
     pub fn advertise_limit(&self, limit: Option<&str>) {
         self.lock().advertised_limit = limit.map(str::to_owned);
     }
 
-    /// When each request arrived, whether it ran or not.
+    /// When each request arrived, whether the request ran or not.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.lock().arrivals.clone()
     }
 
-    /// Simulates that another endpoint now has its address: it refuses all further requests as misdirected.
+    /// Simulates that another endpoint now has this address: all further requests are refused as misdirected.
     pub fn release_address(&self) {
         self.lock().address_released = true;
     }
@@ -215,7 +215,7 @@
     crash: watch::Sender<bool>,
 }
 
-/// Counts a request as running until dropped. The end of its connection drops it as well.
+/// Counts a request as running until dropped. The end of the request's connection is such a drop as well.
 struct ActiveRequest<'a>(&'a Shared);
 
 impl Drop for ActiveRequest<'_> {
@@ -273,7 +273,7 @@
         self.run_request(stream, request).await
     }
 
-    /// Headers of a response, with the limit if it advertises one.
+    /// Headers of a response, with the rate limit if the endpoint advertises one.
     fn with_limit(&self, headers: &[(&'static str, &str)]) -> Vec<(&'static str, String)> {
         let owned = headers.iter().map(|&(name, value)| (name, value.to_owned()));
         let limit = self.lock().advertised_limit.clone();
@@ -342,7 +342,7 @@
             ActiveRequest(self)
         };
         if fault == SiteFault::Hang {
-            // Until the client closes the connection.
+            // Waits until the client closes the connection.
             let mut buffer = Vec::new();
             let _ = read_request(stream, &mut buffer).await;
             return false;
--- a/crates/standin/src/site/instance.rs
+++ b/crates/standin/src/site/instance.rs
@@ -12,21 +12,21 @@
 /// The settings of an instance.
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
     /// Failure domain.
     pub domain: String,
-    /// Address on which it accepts callers.
+    /// Address on which the instance accepts callers.
     pub caller_address: SocketAddr,
-    /// Address on which it answers readiness probes.
+    /// Address on which the instance answers readiness checks.
     pub ready_address: SocketAddr,
-    /// Control address, under which other instances know it.
+    /// Control address, by which other instances know this one.
     pub control_address: SocketAddr,
     /// Control addresses of some instances.
     pub seeds: Vec<SocketAddr>,
-    /// Port for datagrams between instances.
+    /// Port for gossip between instances.
     pub peer_port: Option<u16>,
-    /// Address of the store, or of a proxy in front of it.
+    /// Address of the store, or of a proxy in front of the store.
     pub store_address: SocketAddr,
     /// Whether the system starts for the first time.
     pub first_start: bool,
@@ -93,7 +93,7 @@
         Ok(Self { child, log, log_closed, _settings: file })
     }
 
-    /// Stops reading its log at the next line, and closes the pipe.
+    /// Stops reading the instance's log at the next line, and closes the pipe.
     pub fn close_log(&self) {
         self.log_closed.store(true, Ordering::Relaxed);
     }
@@ -104,8 +104,8 @@
         lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
-    /// Sends a signal by name, such as `-TERM`. A process that has ended gets none, since another process may have its
-    /// id by then.
+    /// Sends a signal by name, such as `-TERM`. A process that has ended gets no signal, since another process may have
+    /// its id by then.
     ///
     /// # Errors
     /// `kill` cannot be run, or does not know the signal.
@@ -117,12 +117,12 @@
         if status.success() { Ok(()) } else { Err(std::io::Error::other(format!("kill {name} failed"))) }
     }
 
-    /// Whether it exited with success; `None` while it runs.
+    /// Whether the process exited with success; `None` while the process runs.
     pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
-    /// Kills it and waits until it has ended.
+    /// Kills the process and waits until the process has ended.
     pub fn kill(&mut self) {
         // The process may have ended already.
         let _ = self.child.kill();
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -18,14 +18,14 @@
 /// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreMode {
-    /// It responds.
+    /// The store responds.
     #[default]
     Up,
-    /// It responds with 503.
+    /// The store responds with 503.
     Busy,
-    /// It sends no response.
+    /// The store sends no response.
     Silent,
-    /// It closes connections.
+    /// The store closes connections.
     Closing,
 }
 
@@ -60,7 +60,7 @@
     items: BTreeMap<String, (String, u64)>,
 }
 
-/// A running store; it stops when dropped.
+/// A running store; dropping it stops the store.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
@@ -83,7 +83,7 @@
         Ok(Self { address, inner, changed, task })
     }
 
-    /// Address on which it listens.
+    /// Address on which the store listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -120,7 +120,7 @@
         lock(&self.inner).era = Some(era);
     }
 
-    /// A backup of its present content.
+    /// A backup of the store's present content.
     pub fn backup(&self) -> StoreBackup {
         let inner = lock(&self.inner);
         StoreBackup { revision: inner.revision, items: inner.items.clone() }
@@ -138,7 +138,7 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Replaces its mode.
+    /// Replaces the store's mode.
     pub fn set_mode(&self, mode: StoreMode) {
         lock(&self.inner).mode = mode;
         self.changed.send_modify(|n| *n += 1);
@@ -149,12 +149,12 @@
         lock(&self.inner).rate_limited = rate_limited;
     }
 
-    /// Number of calls so far, whether they got a response or not.
+    /// Number of calls so far, with or without a response.
     pub fn calls(&self) -> u64 {
         lock(&self.inner).calls
     }
 
-    /// The wait that each watch so far requested, in milliseconds, whether it got a response or not.
+    /// The wait that each watch so far requested, in milliseconds; watches without a response are included.
     pub fn watch_waits_ms(&self) -> Vec<u64> {
         lock(&self.inner).watch_waits_ms.clone()
     }
