--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -27,7 +27,7 @@
 /// Time without a disturbance of the store, of an instance or of its link to the store. [`DRAIN_TIME`] is checked only
 /// if the last disturbance is longer ago than that, both when the endpoint left and when it got the request.
 const QUIET: Duration = Duration::from_secs(3);
-/// Pause between two requests of a caller whose team floods.
+/// Pause between two requests of a caller of the flooding team.
 const FLOOD_PAUSE: Duration = Duration::from_millis(15);
 /// Window in which a team's limit must hold.
 const LIMIT_WINDOW: Duration = Duration::from_secs(8);
@@ -40,15 +40,15 @@
 const EVENT_COUNT: u32 = 20;
 /// Pause before each request that crashes engines, in milliseconds.
 const CRASH_PAUSE_MS: std::ops::Range<u64> = 500..3_000;
-/// Engines that one request may crash after all faults have ended, before all instances know that it crashes engines.
+/// Engines that one request may crash after all faults have ended, before all instances know that the request does so.
 /// Instances that were all down at the same moment have lost that knowledge and must learn it again.
 const MAX_CRASHES: usize = 3;
 /// Time in which all instances know what one instance has observed.
 const GOSSIP_TIME: Duration = Duration::from_secs(3);
 /// Requests a second that plain endpoints advertise at the end.
 const RATE_PER_S: f64 = 3.0;
-/// Window in which their requests are counted, the factor by which the count may exceed the rate, and the requests that
-/// are allowed in addition.
+/// Window in which the requests to these endpoints are counted, the factor by which the count may exceed the rate, and
+/// the requests that are allowed in addition.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 const RATE_TOLERANCE: f64 = 1.5;
 const RATE_SLACK: f64 = 5.0;
@@ -210,8 +210,8 @@
         Ok(())
     }
 
-    /// After all faults have ended, plain endpoints that advertise a rate must get no more requests than that allows.
-    /// This guarantee has a time bound, so it is not checked beside other load.
+    /// After all faults have ended, plain endpoints that advertise a rate must get no more requests than the rate
+    /// allows. This guarantee has a time bound, so it is not checked beside other load.
     pub(crate) async fn verify_rates(&self, site: &Site) -> Result<(), Violation> {
         let advertise = |rate: Option<&str>| {
             let parts = site.parts();
@@ -318,7 +318,7 @@
         if crashes {
             request = request.body(CRASHING_BODY);
         }
-        // A broken connection tells nothing about the request.
+        // A broken connection proves nothing about the request.
         let Ok(response) = request.send().await else { return false };
         match response.status().as_u16() {
             200 => self.check_response(kind, id, response).await,
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -50,7 +50,7 @@
         self.log.join("\n")
     }
 
-    /// Waits a little, ends the faults whose time is over, and starts a new fault.
+    /// Waits for a short random time, ends the faults whose time is over, and starts a new fault.
     pub(crate) async fn step(&mut self, site: &Site) {
         let pause = self.rng.random_range(50..400);
         tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -74,14 +74,14 @@
     /// Ends all faults.
     pub(crate) async fn heal(&mut self, site: &Site) {
         self.undo_due(site, Instant::now() + Duration::from_mins(1));
-        // The last endpoint takes the index of one that leaves, so a fault may have been ended at the wrong endpoint.
+        // When an endpoint leaves, the last one takes its index, so a fault may have been ended at the wrong endpoint.
         for endpoint in &site.parts().endpoints {
             endpoint.proxy.set(Impairment::None);
             endpoint.server.set_fault(SiteFault::None);
             endpoint.server.advertise_limit(None);
         }
         self.replace_crashed(site).await;
-        // Instances that shut down end first.
+        // Waits until every graceful shutdown is complete.
         while self.stopped.elapsed() < SHUTDOWN_TIME {
             self.restart_ended(site);
             tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -17,12 +17,12 @@
 pub(crate) struct Endpoint {
     pub(crate) server: SiteEndpoint,
     pub(crate) proxy: Proxy,
-    /// When its entry was set to draining or was removed.
+    /// When the endpoint's entry was set to draining or was removed.
     pub(crate) left: Option<Instant>,
 }
 
 /// An instance, whose process may be down.
-pub(crate) struct Slot {
+pub(crate) struct InstanceSlot {
     pub(crate) settings: SiteSettings,
     pub(crate) store_link: Proxy,
     pub(crate) process: Option<SiteInstance>,
@@ -30,7 +30,7 @@
     previous: Vec<SiteInstance>,
     /// Number of the present incarnation.
     pub(crate) incarnation: u64,
-    /// Since when no fault touched the process or its link to the store.
+    /// Since when no fault has affected the process or its link to the store.
     pub(crate) undisturbed_since: Instant,
 }
 
@@ -39,7 +39,7 @@
     pub(crate) endpoints: Vec<Endpoint>,
     /// Endpoints that have left; their execution logs are still checked.
     pub(crate) ended: Vec<Endpoint>,
-    pub(crate) instances: Vec<Slot>,
+    pub(crate) instances: Vec<InstanceSlot>,
     pub(crate) version: u64,
     next_id: u64,
 }
@@ -98,7 +98,7 @@
         };
         let process = Some(SiteInstance::start(&self.binary, &settings)?);
         let undisturbed_since = Instant::now();
-        self.parts().instances.push(Slot {
+        self.parts().instances.push(InstanceSlot {
             settings,
             store_link,
             process,
