--- a/crates/bench/src/commands/slopes.rs
+++ b/crates/bench/src/commands/slopes.rs
@@ -3,7 +3,8 @@
 use gumdrop::Options;
 use teaselshunt_bench::{measure_control, measure_decision};
 
-/// Numbers of endpoints: from the larger of the first users through medium sizes to the size in two years.
+/// Numbers of endpoints: the larger deployment of the first users, two medium sizes, and the size that is
+/// expected in two years.
 const ENDPOINTS: [usize; 4] = [22, 156, 390, 780];
 /// Numbers of instances and endpoints, from the same range of sizes.
 const DEPLOYMENTS: [(usize, usize); 4] = [(8, 22), (38, 78), (76, 156), (380, 780)];
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -28,8 +28,7 @@
 pub enum Policy {
     /// The policy of the router.
     Ours,
-    /// Each instance selects the less loaded of two random endpoints by itself, as the first version of the
-    /// router did.
+    /// Each instance selects the less loaded of two random endpoints by itself.
     TwoChoices,
     /// A random endpoint.
     Random,
--- a/crates/bench/src/quotas.rs
+++ b/crates/bench/src/quotas.rs
@@ -32,12 +32,12 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Costs of requests in units.
 const REQUEST_COSTS: [u64; 4] = [10, 10, 200, 800];
-/// Time that a restarted instance needs to read the configuration. It serves no callers before.
+/// Time that a restarted instance needs to read the configuration; before that it serves no callers.
 const CONFIGURATION_READ_TIME: Duration = Duration::from_millis(150);
 /// Time before the first requests, in which instances receive updates of each other.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Kind of a fault, and what it affects.
+/// Kind of a fault, and the instances that the fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum FaultKind {
     /// A network partition between one failure domain and all others.
@@ -159,13 +159,13 @@
     sequence: u64,
     /// Fraction of the callers that use this instance.
     caller_fraction: f64,
-    /// Units that its callers are due to request.
+    /// Units that the instance's callers are due to request.
     pending: f64,
     next_gossip: Duration,
     next_tick: Duration,
     down: bool,
     frozen: bool,
-    /// Time from which on it serves callers.
+    /// Time from which on the instance serves callers.
     ready_at: Duration,
 }
 
@@ -191,7 +191,7 @@
     active: Vec<bool>,
 }
 
-/// Start of virtual time; it is above zero because machines have usually been up for a while.
+/// Start of virtual time; above zero, since the machines of instances have been up for a while.
 const START: Duration = Duration::from_secs(1000);
 
 impl QuotaPlan {
@@ -284,11 +284,13 @@
     }
 
     fn set_fault(&mut self, kind: FaultKind, begins: bool) {
-        let is_hit = |index: usize, eighths: u8| (index * 5) % 8 < usize::from(eighths);
+        let is_affected = |index: usize, eighths: u8| (index * 5) % 8 < usize::from(eighths);
         for index in 0..self.nodes.len() {
             match kind {
-                FaultKind::Freeze { eighths } if is_hit(index, eighths) => self.nodes[index].frozen = begins,
-                FaultKind::Kill { eighths } if is_hit(index, eighths) => {
+                FaultKind::Freeze { eighths } if is_affected(index, eighths) => {
+                    self.nodes[index].frozen = begins;
+                }
+                FaultKind::Kill { eighths } if is_affected(index, eighths) => {
                     self.nodes[index].down = begins;
                     if !begins {
                         self.restart(index);
--- a/crates/bench/src/rates.rs
+++ b/crates/bench/src/rates.rs
@@ -175,7 +175,7 @@
     incarnation: u64,
     /// Fraction of the callers that use this instance.
     caller_fraction: f64,
-    /// Requests that its callers are due to submit.
+    /// Requests that the instance's callers are due to submit.
     pending: f64,
     next_gossip: Instant,
     peers: Peers<usize>,
@@ -185,7 +185,7 @@
     sequence: u64,
     down: bool,
     frozen: bool,
-    /// Time until which its requests do not count in windows.
+    /// Time until which the instance's requests do not count in windows.
     exempt_until: Instant,
 }
 
@@ -194,8 +194,9 @@
     at: Instant,
     from: usize,
     to: usize,
-    /// Failure domain of the sender, and the time until its next update.
+    /// Failure domain of the sender.
     domain: u8,
+    /// Time until the sender's next update.
     next_interval: Duration,
     incarnation: u64,
     sequence: u64,
@@ -318,7 +319,7 @@
             let active = self.now >= begin && self.now < end;
             let changed = std::mem::replace(&mut self.active[index], active) != active;
             for number in 0..self.nodes.len() {
-                if is_hit(fault.kind, number, self.nodes[number].domain) && (active || changed) {
+                if is_affected(fault.kind, number, self.nodes[number].domain) && (active || changed) {
                     self.nodes[number].exempt_until = self.now + SETTLE_TIME;
                     if changed {
                         self.set_fault(number, fault.kind, active);
@@ -497,7 +498,7 @@
 }
 
 /// Whether a fault affects an instance.
-fn is_hit(kind: FaultKind, number: usize, domain: u8) -> bool {
+fn is_affected(kind: FaultKind, number: usize, domain: u8) -> bool {
     match kind {
         FaultKind::Cut { domain: partitioned } => domain == partitioned,
         FaultKind::Kill { eighths } | FaultKind::Freeze { eighths } => {
--- a/crates/bench/src/world/callers.rs
+++ b/crates/bench/src/world/callers.rs
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Submits a request through the load balancer, which selects any running instance. It does not notice
-    /// that an instance is frozen.
+    /// Submits a request through the load balancer, which selects any running instance. The balancer does not
+    /// notice that an instance is frozen.
     pub(super) fn submit(&mut self, caller: usize) {
         let running: Vec<usize> = (0..self.nodes.len()).filter(|&i| self.nodes[i].is_running()).collect();
         let now_ms = 1_800_000_000_000 + self.now.as_millis() as u64;
@@ -215,17 +215,17 @@
         let abandon_after = self.callers[caller].spec.abandon_after;
         let entry = &mut self.nodes[node];
         entry.next_ticket += 1;
-        let (ticket, start_count) = (Ticket(entry.next_ticket), entry.start_count);
+        let (ticket, transition_count) = (Ticket(entry.next_ticket), entry.transition_count);
         entry.drivers.insert(ticket, Driver::new(caller));
         if let Some(abandon_after) = abandon_after {
-            self.schedule_after(abandon_after, SimEvent::Abandon { caller, start_count, node, ticket });
+            self.schedule_after(abandon_after, SimEvent::Abandon { caller, transition_count, node, ticket });
         }
         self.step(node, Event::Arrived { ticket, work });
     }
 
-    pub(super) fn abandon(&mut self, caller: usize, node: usize, start_count: u32, ticket: Ticket) {
-        let is_open =
-            self.nodes[node].start_count == start_count && self.nodes[node].drivers.contains_key(&ticket);
+    pub(super) fn abandon(&mut self, caller: usize, node: usize, transition_count: u32, ticket: Ticket) {
+        let is_open = self.nodes[node].transition_count == transition_count
+            && self.nodes[node].drivers.contains_key(&ticket);
         if !is_open || self.nodes[node].frozen {
             return;
         }
--- a/crates/bench/src/world/crashes.rs
+++ b/crates/bench/src/world/crashes.rs
@@ -10,7 +10,7 @@
 use teaselshunt_core::{Event, Fingerprint, StepFailure};
 
 use super::World;
-use super::engine::{Job, Task};
+use super::engine::{SentStep, Task};
 
 /// Time from a crash of an engine until it has restarted.
 pub(super) const RESTART_TIME: Duration = Duration::from_secs(4);
@@ -34,24 +34,27 @@
 
 impl World {
     /// Whether the request of a step crashes every engine that generates for it.
-    pub(super) fn crashes_engine(&self, job: &Job) -> bool {
-        self.fingerprint(job).is_some_and(|(_, crashes)| crashes)
+    pub(super) fn crashes_engine(&self, sent_step: &SentStep) -> bool {
+        self.fingerprint(sent_step).is_some_and(|(_, crashes)| crashes)
     }
 
-    fn fingerprint(&self, job: &Job) -> Option<(Fingerprint, bool)> {
-        let node = &self.nodes[job.node];
-        let driver = node.drivers.get(&job.ticket).filter(|_| node.start_count == job.start_count)?;
+    fn fingerprint(&self, sent_step: &SentStep) -> Option<(Fingerprint, bool)> {
+        let node = &self.nodes[sent_step.node];
+        let driver = node
+            .drivers
+            .get(&sent_step.ticket)
+            .filter(|_| node.transition_count == sent_step.transition_count)?;
         let caller = &self.callers[driver.caller];
         Some((caller.fingerprint, caller.crashes_engines))
     }
 
     /// Crashes an engine under a request. All steps in progress there fail.
-    pub(super) fn crash(&mut self, endpoint: usize, job: &Job) {
-        if let Some((request, _)) = self.fingerprint(job) {
+    pub(super) fn crash(&mut self, endpoint: usize, sent_step: &SentStep) {
+        if let Some((request, _)) = self.fingerprint(sent_step) {
             self.count_crash(request);
         }
-        for job in self.engines[endpoint].crash(self.now) {
-            self.fail(endpoint, &job, StepFailure::Broken);
+        for sent_step in self.engines[endpoint].crash(self.now) {
+            self.fail(endpoint, &sent_step, StepFailure::Broken);
         }
     }
 
@@ -78,16 +81,16 @@
     }
 
     /// Refuses the connection for a step, because the process of the engine is not running.
-    pub(super) fn refuse_connection(&mut self, endpoint: usize, job: &Job) {
+    pub(super) fn refuse_connection(&mut self, endpoint: usize, sent_step: &SentStep) {
         let id = self.engines[endpoint].id;
-        match job.task {
-            Task::Poll => self.reply(endpoint, job, Event::Unreported { endpoint: id }),
+        match sent_step.task {
+            Task::Poll => self.reply(endpoint, sent_step, Event::Unreported { endpoint: id }),
             Task::Cancel => {
-                let event = Event::Cancelled { attempt: job.attempt, endpoint: id, confirmed: false };
-                self.reply(endpoint, job, event);
+                let event = Event::Cancelled { attempt: sent_step.attempt, endpoint: id, confirmed: false };
+                self.reply(endpoint, sent_step, event);
             }
             Task::Prefill { .. } | Task::Import { .. } | Task::Decode { .. } | Task::Call { .. } => {
-                self.fail(endpoint, job, StepFailure::NotSent);
+                self.fail(endpoint, sent_step, StepFailure::NotSent);
             }
         }
     }
--- a/crates/bench/src/world/drivers.rs
+++ b/crates/bench/src/world/drivers.rs
@@ -7,7 +7,7 @@
 
 use teaselshunt_core::{AttemptId, Effect, Event, Outcome, StepFailure, Target, Ticket};
 
-use super::engine::{Job, Task};
+use super::engine::{SentStep, Task};
 use super::network::{Network, Side};
 use super::platform::VERSION_SPREAD_TIME;
 use super::{SimEvent, World};
@@ -133,36 +133,36 @@
     fn send_step(&mut self, node: usize, ticket: Ticket, attempt: AttemptId, target: Target, task: Task) {
         let endpoint = self.by_endpoint[&target.id];
         let (near, far) = (self.nodes[node].domain, self.engines[endpoint].domain);
-        let start_count = self.nodes[node].start_count;
+        let transition_count = self.nodes[node].transition_count;
         let is_cancel = matches!(task, Task::Cancel);
-        let job = Job { node, start_count, ticket, attempt, task };
+        let sent_step = SentStep { node, transition_count, ticket, attempt, task };
         if !self.network.is_partitioned(Side::Domain(near), Side::Domain(far)) {
             let delay = Network::delay(near, far, &mut self.rng);
-            return self.schedule_after(delay, SimEvent::StepArrival { endpoint, job });
+            return self.schedule_after(delay, SimEvent::StepArrival { endpoint, sent_step });
         }
         let event = if is_cancel {
             Event::Cancelled { attempt, endpoint: target.id, confirmed: false }
         } else {
-            let offset = self.offset(&job);
+            let offset = self.offset(&sent_step);
             Event::Failed { attempt, failure: StepFailure::NotSent, offset }
         };
-        self.schedule_after(CONNECT_TIMEOUT, SimEvent::StepResult { node, start_count, event });
+        self.schedule_after(CONNECT_TIMEOUT, SimEvent::StepResult { node, transition_count, event });
     }
 
     fn poll(&mut self, node: usize, target: Target) {
         let endpoint = self.by_endpoint[&target.id];
         let (near, far) = (self.nodes[node].domain, self.engines[endpoint].domain);
-        let start_count = self.nodes[node].start_count;
+        let transition_count = self.nodes[node].transition_count;
         if self.network.is_partitioned(Side::Domain(near), Side::Domain(far)) {
             let event = Event::Unreported { endpoint: target.id };
-            return self.schedule_after(POLL_TIMEOUT, SimEvent::StepResult { node, start_count, event });
+            return self.schedule_after(POLL_TIMEOUT, SimEvent::StepResult { node, transition_count, event });
         }
         let request =
             teaselshunt_core::RequestId { instance: self.nodes[node].id, incarnation: 0, sequence: 0 };
         let attempt = AttemptId { request, number: 0 };
-        let job = Job { node, start_count, ticket: Ticket(0), attempt, task: Task::Poll };
+        let sent_step = SentStep { node, transition_count, ticket: Ticket(0), attempt, task: Task::Poll };
         let delay = Network::delay(near, far, &mut self.rng);
-        self.schedule_after(delay, SimEvent::StepArrival { endpoint, job });
+        self.schedule_after(delay, SimEvent::StepArrival { endpoint, sent_step });
     }
 
     fn schedule_timeout_check(
@@ -172,13 +172,13 @@
         timeout: Duration,
         is_stall_timeout: bool,
     ) {
-        let start_count = self.nodes[node].start_count;
+        let transition_count = self.nodes[node].transition_count;
         let Some(step_number) = self.nodes[node].drivers.get(&ticket).map(|d| d.step_number) else {
             return;
         };
         self.schedule_after(
             timeout,
-            SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout },
+            SimEvent::TimeoutCheck { node, transition_count, ticket, step_number, timeout, is_stall_timeout },
         );
     }
 
@@ -186,21 +186,28 @@
     pub(super) fn check_timeout(
         &mut self,
         node: usize,
-        start_count: u32,
+        transition_count: u32,
         ticket: Ticket,
         step_number: u32,
         timeout: Duration,
         is_stall_timeout: bool,
     ) {
         let now = self.now;
-        if self.nodes[node].start_count != start_count {
+        if self.nodes[node].transition_count != transition_count {
             return;
         }
         let running_since = self.nodes[node].running_since;
         if self.nodes[node].frozen {
             return self.schedule_after(
                 timeout,
-                SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout },
+                SimEvent::TimeoutCheck {
+                    node,
+                    transition_count,
+                    ticket,
+                    step_number,
+                    timeout,
+                    is_stall_timeout,
+                },
             );
         }
         let Some(driver) = self.nodes[node].drivers.get(&ticket) else {
@@ -214,31 +221,40 @@
             let remaining = timeout.saturating_sub(idle);
             return self.schedule_after(
                 remaining,
-                SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout },
+                SimEvent::TimeoutCheck {
+                    node,
+                    transition_count,
+                    ticket,
+                    step_number,
+                    timeout,
+                    is_stall_timeout,
+                },
             );
         }
         let failure = if is_stall_timeout { StepFailure::Stalled } else { StepFailure::TimedOut };
         let offset = driver.offset;
-        self.deliver_result(node, start_count, Event::Failed { attempt, failure, offset });
+        self.deliver_result(node, transition_count, Event::Failed { attempt, failure, offset });
     }
 
-    /// Number of tokens that the caller of a job has received.
-    pub(super) fn offset(&self, job: &Job) -> u32 {
-        self.nodes[job.node].drivers.get(&job.ticket).map_or(0, |d| d.offset)
+    /// Number of tokens that the caller of a step has received.
+    pub(super) fn offset(&self, sent_step: &SentStep) -> u32 {
+        self.nodes[sent_step.node].drivers.get(&sent_step.ticket).map_or(0, |d| d.offset)
     }
 
-    /// Whether the instance of a job is running and still processes this attempt.
-    pub(super) fn is_connected(&self, job: &Job) -> bool {
-        let node = &self.nodes[job.node];
-        let driver =
-            node.drivers.get(&job.ticket).filter(|_| node.start_count == job.start_count && !node.frozen);
-        driver.is_some_and(|d| d.attempt == Some(job.attempt))
+    /// Whether the instance of a step is running and still processes the step's attempt.
+    pub(super) fn is_connected(&self, sent_step: &SentStep) -> bool {
+        let node = &self.nodes[sent_step.node];
+        let driver = node
+            .drivers
+            .get(&sent_step.ticket)
+            .filter(|_| node.transition_count == sent_step.transition_count && !node.frozen);
+        driver.is_some_and(|d| d.attempt == Some(sent_step.attempt))
     }
 
-    /// Records that the caller of a job has received tokens up to `offset`.
-    pub(super) fn record_progress(&mut self, job: &Job, offset: u32) {
+    /// Records that the caller of a step has received tokens up to `offset`.
+    pub(super) fn record_progress(&mut self, sent_step: &SentStep, offset: u32) {
         let now = self.now;
-        if let Some(driver) = self.nodes[job.node].drivers.get_mut(&job.ticket) {
+        if let Some(driver) = self.nodes[sent_step.node].drivers.get_mut(&sent_step.ticket) {
             assert!(offset >= driver.offset, "the offset of a stream decreased");
             driver.offset = offset;
             driver.last_progress = now;
@@ -260,10 +276,10 @@
         }
     }
 
-    /// Checks new work at an endpoint: its request must not have been reported as not run, and the endpoint
+    /// Checks new work at an endpoint: the request must not have been reported as not run, and the endpoint
     /// must not be draining.
-    pub(super) fn check_new_work(&mut self, endpoint: usize, job: &Job) {
-        let request = job.attempt.request;
+    pub(super) fn check_new_work(&mut self, endpoint: usize, sent_step: &SentStep) {
+        let request = sent_step.attempt.request;
         self.reached_endpoint.insert(request);
         if self.reported_not_run.contains(&request) {
             let text = format!("{:?}: {request} was reported as not run, and ran later", self.now);
@@ -276,8 +292,8 @@
             // The instance may not be able to learn the version with the drain.
             return;
         }
-        let is_known_by =
-            since.max(self.last_disturbance).max(self.nodes[job.node].running_since) + VERSION_SPREAD_TIME;
+        let is_known_by = since.max(self.last_disturbance).max(self.nodes[sent_step.node].running_since)
+            + VERSION_SPREAD_TIME;
         if self.now > is_known_by {
             let text = format!(
                 "{:?}: endpoint {endpoint} has been draining since {since:?} and got new work",
--- a/crates/bench/src/world/engine.rs
+++ b/crates/bench/src/world/engine.rs
@@ -55,10 +55,10 @@
 
 /// A step of a request that is sent to an endpoint or in progress there.
 #[derive(Debug, Clone)]
-pub(super) struct Job {
+pub(super) struct SentStep {
     pub(super) node: usize,
-    /// `start_count` of the node when the step was sent.
-    pub(super) start_count: u32,
+    /// `transition_count` of the instance's node when the step was sent.
+    pub(super) transition_count: u32,
     pub(super) ticket: Ticket,
     pub(super) attempt: AttemptId,
     pub(super) task: Task,
@@ -77,7 +77,7 @@
 
 #[derive(Debug)]
 struct QueuedPrefill {
-    job: Job,
+    sent_step: SentStep,
     tokens: u32,
 }
 
@@ -89,7 +89,7 @@
 
 #[derive(Debug)]
 struct Stream {
-    job: Job,
+    sent_step: SentStep,
     generated: u32,
     length: u32,
     /// Tokens that the instance has received.
@@ -162,8 +162,8 @@
     /// Attempts that occupy memory of the engine.
     pub(super) fn held_attempts(&self, now: Duration) -> Vec<AttemptId> {
         let mut attempts: Vec<AttemptId> = self.used_slots.keys().copied().collect();
-        attempts.extend(self.queue.values().map(|prefill| prefill.job.attempt));
-        attempts.extend(self.running_prefill.iter().map(|(_, prefill)| prefill.job.attempt));
+        attempts.extend(self.queue.values().map(|prefill| prefill.sent_step.attempt));
+        attempts.extend(self.running_prefill.iter().map(|(_, prefill)| prefill.sent_step.attempt));
         attempts.extend(self.kv_caches.iter().filter(|(_, c)| c.expires_at > now).map(|(&a, _)| a));
         attempts
     }
@@ -171,10 +171,10 @@
     fn cancel(&mut self, attempt: AttemptId) {
         self.used_slots.remove(&attempt);
         self.kv_caches.remove(&attempt);
-        self.queue.retain(|_, prefill| prefill.job.attempt != attempt);
+        self.queue.retain(|_, prefill| prefill.sent_step.attempt != attempt);
         // A running prefill is not interrupted; its KV cache is discarded when it ends.
         if let Some((prefill_number, prefill)) = &mut self.running_prefill
-            && prefill.job.attempt == attempt
+            && prefill.sent_step.attempt == attempt
         {
             *prefill_number = u64::MAX;
         }
@@ -186,13 +186,13 @@
     }
 
     /// Ends the process and returns the steps whose connections break.
-    pub(super) fn crash(&mut self, now: Duration) -> Vec<Job> {
+    pub(super) fn crash(&mut self, now: Duration) -> Vec<SentStep> {
         self.restart_end = now + RESTART_TIME;
-        let queued = std::mem::take(&mut self.queue).into_values().map(|prefill| prefill.job);
-        let running_prefill = self.running_prefill.take().map(|(_, prefill)| prefill.job);
+        let queued = std::mem::take(&mut self.queue).into_values().map(|prefill| prefill.sent_step);
+        let running_prefill = self.running_prefill.take().map(|(_, prefill)| prefill.sent_step);
         let streams =
             std::mem::take(&mut self.used_slots).into_values().filter_map(|slot_use| match slot_use {
-                SlotUse::Stream(stream) => Some(stream.job),
+                SlotUse::Stream(stream) => Some(stream.sent_step),
                 SlotUse::Incoming | SlotUse::Imported => None,
             });
         self.kv_caches.clear();
@@ -216,58 +216,67 @@
 
 impl World {
     /// Handles the arrival of a step at an endpoint.
-    pub(super) fn receive_step(&mut self, endpoint: usize, job: Job) {
+    pub(super) fn receive_step(&mut self, endpoint: usize, sent_step: SentStep) {
         if self.engines[endpoint].is_down(self.now) {
-            return self.refuse_connection(endpoint, &job);
+            return self.refuse_connection(endpoint, &sent_step);
         }
-        match job.task.clone() {
-            Task::Prefill { tokens, priority } => self.receive_prefill(endpoint, &job, tokens, priority),
+        match sent_step.task.clone() {
+            Task::Prefill { tokens, priority } => {
+                self.receive_prefill(endpoint, &sent_step, tokens, priority);
+            }
             Task::Import { cache_attempt, origin } => {
-                self.receive_import(endpoint, job, cache_attempt, origin);
+                self.receive_import(endpoint, sent_step, cache_attempt, origin);
             }
             Task::Decode { resume, offset, length } => {
-                self.receive_decode(endpoint, &job, resume, offset, length);
+                self.receive_decode(endpoint, &sent_step, resume, offset, length);
             }
             Task::Cancel => {
-                self.engines[endpoint].cancel(job.attempt);
+                self.engines[endpoint].cancel(sent_step.attempt);
                 let id = self.engines[endpoint].id;
-                let event = Event::Cancelled { attempt: job.attempt, endpoint: id, confirmed: true };
-                self.reply(endpoint, &job, event);
+                let event = Event::Cancelled { attempt: sent_step.attempt, endpoint: id, confirmed: true };
+                self.reply(endpoint, &sent_step, event);
             }
-            Task::Poll => self.receive_poll(endpoint, &job),
+            Task::Poll => self.receive_poll(endpoint, &sent_step),
             Task::Call { .. } => {
-                self.check_new_work(endpoint, &job);
-                self.schedule_after(CALL_TIME, SimEvent::CallEnd { endpoint, job });
+                self.check_new_work(endpoint, &sent_step);
+                self.schedule_after(CALL_TIME, SimEvent::CallEnd { endpoint, sent_step });
             }
         }
     }
 
-    pub(super) fn fail(&mut self, endpoint: usize, job: &Job, failure: StepFailure) {
-        let offset = self.offset(job);
-        self.reply(endpoint, job, Event::Failed { attempt: job.attempt, failure, offset });
+    pub(super) fn fail(&mut self, endpoint: usize, sent_step: &SentStep, failure: StepFailure) {
+        let offset = self.offset(sent_step);
+        self.reply(endpoint, sent_step, Event::Failed { attempt: sent_step.attempt, failure, offset });
     }
 
-    /// Sends the result of a step to its instance. It is lost if the network is partitioned.
-    pub(super) fn reply(&mut self, endpoint: usize, job: &Job, event: Event) {
-        let (from, to) = (self.engines[endpoint].domain, self.nodes[job.node].domain);
+    /// Sends the result of a step to its instance. The result is lost if the network is partitioned.
+    pub(super) fn reply(&mut self, endpoint: usize, sent_step: &SentStep, event: Event) {
+        let (from, to) = (self.engines[endpoint].domain, self.nodes[sent_step.node].domain);
         if self.network.is_partitioned(Side::Domain(from), Side::Domain(to)) {
             return;
         }
         let delay = Network::delay(from, to, &mut self.rng);
         self.schedule_after(
             delay,
-            SimEvent::StepResult { node: job.node, start_count: job.start_count, event },
+            SimEvent::StepResult {
+                node: sent_step.node,
+                transition_count: sent_step.transition_count,
+                event,
+            },
         );
     }
 
-    fn receive_prefill(&mut self, endpoint: usize, job: &Job, tokens: u32, priority: u8) {
+    fn receive_prefill(&mut self, endpoint: usize, sent_step: &SentStep, tokens: u32, priority: u8) {
         let engine = &mut self.engines[endpoint];
         if engine.refusing || engine.queue.len() >= QUEUE_LENGTH_MAX {
-            return self.fail(endpoint, job, StepFailure::Busy);
+            return self.fail(endpoint, sent_step, StepFailure::Busy);
         }
         engine.prefill_number += 1;
-        engine.queue.insert((priority, engine.prefill_number), QueuedPrefill { job: job.clone(), tokens });
-        self.check_new_work(endpoint, job);
+        engine.queue.insert(
+            (priority, engine.prefill_number),
+            QueuedPrefill { sent_step: sent_step.clone(), tokens },
+        );
+        self.check_new_work(endpoint, sent_step);
         self.start_prefill(endpoint);
     }
 
@@ -296,62 +305,68 @@
             return;
         };
         if current == prefill_number {
-            let attempt = prefill.job.attempt;
+            let attempt = prefill.sent_step.attempt;
             engine
                 .kv_caches
                 .insert(attempt, KvCache { tokens: prefill.tokens, expires_at: now + KV_CACHE_TTL });
             let bytes = u64::from(prefill.tokens) * self.options.speed.kv_token_bytes;
-            self.reply(endpoint, &prefill.job, Event::Prefilled { attempt, bytes, cached: 0 });
+            self.reply(endpoint, &prefill.sent_step, Event::Prefilled { attempt, bytes, cached: 0 });
         } else if current != u64::MAX {
-            // The event belongs to an earlier prefill; this one is still running.
+            // The event belongs to an earlier prefill; the current one is still running.
             engine.running_prefill = Some((current, prefill));
             return;
         }
         self.start_prefill(endpoint);
     }
 
-    fn receive_import(&mut self, endpoint: usize, job: Job, cache_attempt: AttemptId, origin: usize) {
+    fn receive_import(
+        &mut self,
+        endpoint: usize,
+        sent_step: SentStep,
+        cache_attempt: AttemptId,
+        origin: usize,
+    ) {
         let engine = &mut self.engines[endpoint];
         if engine.refusing || engine.used_slots.len() >= engine.slot_count {
-            return self.fail(endpoint, &job, StepFailure::Busy);
+            return self.fail(endpoint, &sent_step, StepFailure::Busy);
         }
-        engine.used_slots.insert(job.attempt, SlotUse::Incoming);
-        self.check_new_work(endpoint, &job);
+        engine.used_slots.insert(sent_step.attempt, SlotUse::Incoming);
+        self.check_new_work(endpoint, &sent_step);
         let (from, to) = (self.engines[origin].domain, self.engines[endpoint].domain);
         let partitioned = self.network.is_partitioned(Side::Domain(from), Side::Domain(to));
         let kv_cache = self.engines[origin].kv_caches.get(&cache_attempt).filter(|c| c.expires_at > self.now);
         let Some(kv_cache) = kv_cache.filter(|_| !partitioned) else {
-            self.engines[endpoint].used_slots.remove(&job.attempt);
-            return self.fail(endpoint, &job, StepFailure::Evicted);
+            self.engines[endpoint].used_slots.remove(&sent_step.attempt);
+            return self.fail(endpoint, &sent_step, StepFailure::Evicted);
         };
         let bytes = u64::from(kv_cache.tokens) * self.options.speed.kv_token_bytes;
         let at = self.network.transfer(self.now, from, to, bytes);
-        self.schedule_at(at, SimEvent::TransferEnd { endpoint, job, origin });
+        self.schedule_at(at, SimEvent::TransferEnd { endpoint, sent_step, origin });
     }
 
-    pub(super) fn finish_transfer(&mut self, endpoint: usize, job: &Job, origin: usize) {
-        let Task::Import { cache_attempt, .. } = job.task else {
+    pub(super) fn finish_transfer(&mut self, endpoint: usize, sent_step: &SentStep, origin: usize) {
+        let Task::Import { cache_attempt, .. } = sent_step.task else {
             return;
         };
         let now = self.now;
         let is_cached =
             self.engines[origin].kv_caches.remove(&cache_attempt).is_some_and(|c| c.expires_at > now);
         let engine = &mut self.engines[endpoint];
-        if engine.stalled || !engine.used_slots.contains_key(&job.attempt) {
+        if engine.stalled || !engine.used_slots.contains_key(&sent_step.attempt) {
             return;
         }
         if !is_cached {
-            engine.used_slots.remove(&job.attempt);
-            return self.fail(endpoint, job, StepFailure::Evicted);
+            engine.used_slots.remove(&sent_step.attempt);
+            return self.fail(endpoint, sent_step, StepFailure::Evicted);
         }
-        engine.used_slots.insert(job.attempt, SlotUse::Imported);
-        self.reply(endpoint, job, Event::Imported { attempt: job.attempt });
+        engine.used_slots.insert(sent_step.attempt, SlotUse::Imported);
+        self.reply(endpoint, sent_step, Event::Imported { attempt: sent_step.attempt });
     }
 
     fn receive_decode(
         &mut self,
         endpoint: usize,
-        job: &Job,
+        sent_step: &SentStep,
         resume: Option<AttemptId>,
         offset: u32,
         length: u32,
@@ -360,18 +375,22 @@
         let has_begun = match resume {
             Some(old) => match engine.used_slots.remove(&old) {
                 Some(SlotUse::Stream(stream)) => {
-                    let stream =
-                        Stream { job: job.clone(), delivered: offset, is_disconnected: false, ..stream };
-                    engine.used_slots.insert(job.attempt, SlotUse::Stream(stream));
+                    let stream = Stream {
+                        sent_step: sent_step.clone(),
+                        delivered: offset,
+                        is_disconnected: false,
+                        ..stream
+                    };
+                    engine.used_slots.insert(sent_step.attempt, SlotUse::Stream(stream));
                     true
                 }
                 _ => false,
             },
-            None => match engine.used_slots.get_mut(&job.attempt) {
+            None => match engine.used_slots.get_mut(&sent_step.attempt) {
                 Some(slot_use @ SlotUse::Imported) => {
                     let generated = offset;
                     let stream = Stream {
-                        job: job.clone(),
+                        sent_step: sent_step.clone(),
                         generated,
                         length,
                         delivered: offset,
@@ -385,10 +404,10 @@
             },
         };
         if !has_begun {
-            return self.fail(endpoint, job, StepFailure::Evicted);
+            return self.fail(endpoint, sent_step, StepFailure::Evicted);
         }
-        if self.crashes_engine(job) {
-            return self.crash(endpoint, job);
+        if self.crashes_engine(sent_step) {
+            return self.crash(endpoint, sent_step);
         }
         self.schedule_decode_step(endpoint);
     }
@@ -423,10 +442,10 @@
             return;
         };
         stream.generated = (stream.generated + 1).min(stream.length);
-        let (job, generated, length) = (stream.job.clone(), stream.generated, stream.length);
-        let (from, to) = (self.engines[endpoint].domain, self.nodes[job.node].domain);
+        let (sent_step, generated, length) = (stream.sent_step.clone(), stream.generated, stream.length);
+        let (from, to) = (self.engines[endpoint].domain, self.nodes[sent_step.node].domain);
         let partitioned = self.network.is_partitioned(Side::Domain(from), Side::Domain(to));
-        let is_open = self.is_connected(&job);
+        let is_open = self.is_connected(&sent_step);
         let Some(SlotUse::Stream(stream)) = self.engines[endpoint].used_slots.get_mut(&attempt) else {
             return;
         };
@@ -443,7 +462,7 @@
         if done {
             self.engines[endpoint].used_slots.remove(&attempt);
         }
-        self.record_progress(&job, generated);
+        self.record_progress(&sent_step, generated);
         let event = if done {
             Event::Finished { attempt, offset: generated, stored: None }
         } else if first {
@@ -451,10 +470,10 @@
         } else {
             return;
         };
-        self.reply(endpoint, &job, event);
+        self.reply(endpoint, &sent_step, event);
     }
 
-    fn receive_poll(&mut self, endpoint: usize, job: &Job) {
+    fn receive_poll(&mut self, endpoint: usize, sent_step: &SentStep) {
         let now = self.now;
         let engine = &mut self.engines[endpoint];
         let attempts = engine.held_attempts(now);
@@ -468,16 +487,16 @@
         let running = running.into_iter().map(|attempt| Running { attempt }).collect();
         let report = EngineLoad { running, waiting: engine.queue.len() as u32, leaving: false };
         let event = Event::Reported { endpoint: engine.id, report };
-        self.reply(endpoint, job, event);
+        self.reply(endpoint, sent_step, event);
     }
 
-    pub(super) fn finish_call(&mut self, endpoint: usize, job: &Job) {
-        let Task::Call { caller } = job.task else {
+    pub(super) fn finish_call(&mut self, endpoint: usize, sent_step: &SentStep) {
+        let Task::Call { caller } = sent_step.task else {
             return;
         };
         self.callers[caller].executions += 1;
         if self.callers[caller].executions > 1 && !self.callers[caller].spec.idempotent {
-            let text = format!("{:?}: a non-idempotent call ran twice, {}", self.now, job.attempt);
+            let text = format!("{:?}: a non-idempotent call ran twice, {}", self.now, sent_step.attempt);
             self.tally.violations.push(text);
         }
         let stored =
@@ -485,7 +504,7 @@
         if self.engines[endpoint].stalled {
             return;
         }
-        self.reply(endpoint, job, Event::Called { attempt: job.attempt, stored: Some(stored) });
+        self.reply(endpoint, sent_step, Event::Called { attempt: sent_step.attempt, stored: Some(stored) });
     }
 
     /// Ends the stall of an engine, which then continues its work.
--- a/crates/bench/src/world/faults.rs
+++ b/crates/bench/src/world/faults.rs
@@ -15,7 +15,8 @@
     Kill(usize),
     /// An instance that is not running is started again under its name.
     Start(usize),
-    /// An instance begins a graceful shutdown. It stays down until [`Fault::Start`] or [`Fault::HealAll`].
+    /// An instance begins a graceful shutdown. The instance stays down until [`Fault::Start`] or
+    /// [`Fault::HealAll`].
     Stop(usize),
     /// An instance's process freezes.
     Freeze(usize),
@@ -126,7 +127,8 @@
     }
 
     /// Drains an endpoint or ends its draining. Only one endpoint drains at a time, to keep endpoints of
-    /// every kind active: what is served without them is the operators' decision and not the router's.
+    /// every kind active: if operators drain all endpoints of a kind, some requests cannot be served, and
+    /// that is no violation by the router.
     fn drain(&mut self, endpoint: usize, drain: bool) {
         if drain && !self.draining.is_empty() {
             return;
--- a/crates/bench/src/world/mod.rs
+++ b/crates/bench/src/world/mod.rs
@@ -34,7 +34,7 @@
 
 use callers::Caller;
 use crashes::Crashes;
-use engine::{Engine, Job};
+use engine::{Engine, SentStep};
 use network::Network;
 use node::Node;
 use platform::Platform;
@@ -70,27 +70,27 @@
 #[derive(Debug)]
 enum SimEvent {
     /// The periodic tick of an instance is due.
-    Tick { node: usize, start_count: u32 },
+    Tick { node: usize, transition_count: u32 },
     /// The result of an effect reaches its instance.
-    StepResult { node: usize, start_count: u32, event: Event },
+    StepResult { node: usize, transition_count: u32, event: Event },
     /// A message reaches an instance.
     Message { node: usize, from: InstanceId, message: Message },
     /// The watch of an instance reads the platform.
-    PlatformRead { node: usize, start_count: u32 },
+    PlatformRead { node: usize, transition_count: u32 },
     /// A step arrives at an endpoint.
-    StepArrival { endpoint: usize, job: Job },
+    StepArrival { endpoint: usize, sent_step: SentStep },
     /// A prefill engine completes its running prefill.
     PrefillEnd { endpoint: usize, number: u64 },
     /// A decode engine generates the next token of every stream.
     DecodeStep { endpoint: usize },
     /// The transfer of a KV cache to a decode engine is complete.
-    TransferEnd { endpoint: usize, job: Job, origin: usize },
+    TransferEnd { endpoint: usize, sent_step: SentStep, origin: usize },
     /// A service completes a call.
-    CallEnd { endpoint: usize, job: Job },
+    CallEnd { endpoint: usize, sent_step: SentStep },
     /// An instance checks whether a step has made progress.
     TimeoutCheck {
         node: usize,
-        start_count: u32,
+        transition_count: u32,
         ticket: Ticket,
         step_number: u32,
         timeout: Duration,
@@ -99,7 +99,7 @@
     /// A caller submits its request, for the first time or as a retry.
     Submit { caller: usize },
     /// A caller disconnects before its response is complete.
-    Abandon { caller: usize, start_count: u32, node: usize, ticket: Ticket },
+    Abandon { caller: usize, transition_count: u32, node: usize, ticket: Ticket },
     /// A fault occurs or ends.
     Fault(Fault),
     /// The platform updates its instance list.
@@ -256,25 +256,34 @@
 
     fn handle(&mut self, sim_event: SimEvent) {
         match sim_event {
-            SimEvent::Tick { node, start_count } => self.tick(node, start_count),
-            SimEvent::StepResult { node, start_count, event } => {
-                self.deliver_result(node, start_count, event);
+            SimEvent::Tick { node, transition_count } => self.tick(node, transition_count),
+            SimEvent::StepResult { node, transition_count, event } => {
+                self.deliver_result(node, transition_count, event);
             }
             SimEvent::Message { node, from, message } => {
                 self.step(node, Event::Received { from, message });
             }
-            SimEvent::PlatformRead { node, start_count } => self.watch_platform(node, start_count),
-            SimEvent::StepArrival { endpoint, job } => self.receive_step(endpoint, job),
+            SimEvent::PlatformRead { node, transition_count } => self.watch_platform(node, transition_count),
+            SimEvent::StepArrival { endpoint, sent_step } => self.receive_step(endpoint, sent_step),
             SimEvent::PrefillEnd { endpoint, number } => self.finish_prefill(endpoint, number),
             SimEvent::DecodeStep { endpoint } => self.run_decode_step(endpoint),
-            SimEvent::TransferEnd { endpoint, job, origin } => self.finish_transfer(endpoint, &job, origin),
-            SimEvent::CallEnd { endpoint, job } => self.finish_call(endpoint, &job),
-            SimEvent::TimeoutCheck { node, start_count, ticket, step_number, timeout, is_stall_timeout } => {
-                self.check_timeout(node, start_count, ticket, step_number, timeout, is_stall_timeout);
+            SimEvent::TransferEnd { endpoint, sent_step, origin } => {
+                self.finish_transfer(endpoint, &sent_step, origin);
+            }
+            SimEvent::CallEnd { endpoint, sent_step } => self.finish_call(endpoint, &sent_step),
+            SimEvent::TimeoutCheck {
+                node,
+                transition_count,
+                ticket,
+                step_number,
+                timeout,
+                is_stall_timeout,
+            } => {
+                self.check_timeout(node, transition_count, ticket, step_number, timeout, is_stall_timeout);
             }
             SimEvent::Submit { caller } => self.submit(caller),
-            SimEvent::Abandon { caller, start_count, node, ticket } => {
-                self.abandon(caller, node, start_count, ticket);
+            SimEvent::Abandon { caller, transition_count, node, ticket } => {
+                self.abandon(caller, node, transition_count, ticket);
             }
             SimEvent::Fault(fault) => self.apply_fault(fault),
             SimEvent::ListUpdate => self.update_list(),
--- a/crates/bench/src/world/node.rs
+++ b/crates/bench/src/world/node.rs
@@ -15,9 +15,9 @@
     pub(super) entry: InstanceEntry,
     pub(super) id: InstanceId,
     pub(super) domain: usize,
-    /// Counts the starts and ends of the process. An event that belongs to one process carries the count,
+    /// Number of starts and ends of the process. An event that belongs to one process carries this number,
     /// and is dropped if that process has ended.
-    pub(super) start_count: u32,
+    pub(super) transition_count: u32,
     /// The decision core while the process runs.
     pub(super) instance: Option<Instance>,
     pub(super) frozen: bool,
@@ -54,7 +54,7 @@
                 entry,
                 id,
                 domain,
-                start_count: 0,
+                transition_count: 0,
                 instance: None,
                 frozen: false,
                 frozen_at: std::time::Duration::ZERO,
@@ -79,17 +79,17 @@
             address: node.entry.peers,
             incarnation,
         };
-        node.start_count += 1;
+        node.transition_count += 1;
         node.version = 0;
         node.leaving = false;
         node.frozen = false;
         node.deferred.clear();
         node.running_since = self.now;
         node.instance = Some(Instance::new(now, identity, seed).with_placement(self.options.placement));
-        let start_count = node.start_count;
+        let transition_count = node.transition_count;
         let phase = Instance::TICK.mul_f64(self.rng.random_range(0.0..1.0));
-        self.schedule_after(phase, SimEvent::Tick { node: index, start_count });
-        self.schedule_after(phase, SimEvent::PlatformRead { node: index, start_count });
+        self.schedule_after(phase, SimEvent::Tick { node: index, transition_count });
+        self.schedule_after(phase, SimEvent::PlatformRead { node: index, transition_count });
         self.fetch_from_peer(index);
     }
 
@@ -114,7 +114,7 @@
         }
         let node = &mut self.nodes[index];
         node.instance = None;
-        node.start_count += 1;
+        node.transition_count += 1;
         let drivers: Vec<(Ticket, Driver)> = std::mem::take(&mut node.drivers).into_iter().collect();
         for (_, driver) in drivers {
             self.connection_broken(driver.caller);
@@ -147,28 +147,28 @@
         }
     }
 
-    pub(super) fn tick(&mut self, node: usize, start_count: u32) {
-        if self.nodes[node].start_count != start_count {
+    pub(super) fn tick(&mut self, node: usize, transition_count: u32) {
+        if self.nodes[node].transition_count != transition_count {
             return;
         }
         if self.nodes[node].frozen {
             // At most one tick is deferred; missed ticks are not repeated.
             let deferred = &mut self.nodes[node].deferred;
             if !deferred.iter().any(|e| matches!(e, SimEvent::Tick { .. })) {
-                deferred.push(SimEvent::Tick { node, start_count });
+                deferred.push(SimEvent::Tick { node, transition_count });
             }
             return;
         }
-        self.schedule_after(Instance::TICK, SimEvent::Tick { node, start_count });
+        self.schedule_after(Instance::TICK, SimEvent::Tick { node, transition_count });
         self.step(node, Event::Tick);
     }
 
-    pub(super) fn deliver_result(&mut self, node: usize, start_count: u32, event: Event) {
-        if self.nodes[node].start_count != start_count {
+    pub(super) fn deliver_result(&mut self, node: usize, transition_count: u32, event: Event) {
+        if self.nodes[node].transition_count != transition_count {
             return;
         }
         if self.nodes[node].frozen {
-            self.nodes[node].deferred.push(SimEvent::StepResult { node, start_count, event });
+            self.nodes[node].deferred.push(SimEvent::StepResult { node, transition_count, event });
             return;
         }
         self.observe_result(node, &event);
@@ -180,8 +180,8 @@
         let now = self.instant();
         let node = &mut self.nodes[index];
         if node.frozen {
-            let start_count = node.start_count;
-            node.deferred.push(SimEvent::StepResult { node: index, start_count, event });
+            let transition_count = node.transition_count;
+            node.deferred.push(SimEvent::StepResult { node: index, transition_count, event });
             return;
         }
         let Some(instance) = node.instance.as_mut() else {
--- a/crates/bench/src/world/platform.rs
+++ b/crates/bench/src/world/platform.rs
@@ -61,15 +61,15 @@
 
 impl World {
     /// Reads the platform for an instance's watch, and schedules the next read.
-    pub(super) fn watch_platform(&mut self, node: usize, start_count: u32) {
-        if self.nodes[node].start_count != start_count {
+    pub(super) fn watch_platform(&mut self, node: usize, transition_count: u32) {
+        if self.nodes[node].transition_count != transition_count {
             return;
         }
-        self.schedule_after(WATCH_INTERVAL, SimEvent::PlatformRead { node, start_count });
-        self.read_platform(node, start_count);
+        self.schedule_after(WATCH_INTERVAL, SimEvent::PlatformRead { node, transition_count });
+        self.read_platform(node, transition_count);
     }
 
-    fn read_platform(&mut self, node: usize, start_count: u32) {
+    fn read_platform(&mut self, node: usize, transition_count: u32) {
         let side = Side::Domain(self.nodes[node].domain);
         if self.platform.is_down || self.network.is_partitioned(side, Side::Platform) {
             return;
@@ -80,11 +80,19 @@
         let list = self.platform.list.clone();
         self.schedule_after(
             RESPONSE_TIME,
-            SimEvent::StepResult { node, start_count, event: Event::ConfigurationRead { candidate, source } },
+            SimEvent::StepResult {
+                node,
+                transition_count,
+                event: Event::ConfigurationRead { candidate, source },
+            },
         );
         self.schedule_after(
             RESPONSE_TIME,
-            SimEvent::StepResult { node, start_count, event: Event::ListRead { list, source, read_started } },
+            SimEvent::StepResult {
+                node,
+                transition_count,
+                event: Event::ListRead { list, source, read_started },
+            },
         );
     }
 
@@ -120,9 +128,9 @@
     /// Lets every running instance read the platform now.
     fn notify_watches(&mut self) {
         for node in 0..self.nodes.len() {
-            let start_count = self.nodes[node].start_count;
+            let transition_count = self.nodes[node].transition_count;
             if self.nodes[node].is_running() {
-                self.read_platform(node, start_count);
+                self.read_platform(node, transition_count);
             }
         }
     }
