--- a/crates/forward/src/catalog.rs
+++ b/crates/forward/src/catalog.rs
@@ -74,8 +74,8 @@
 /// Pause after a change during [`STARTUP_TIME`]: half of the longest time between the entries that endpoints
 /// write in one heartbeat interval.
 const STARTUP_COALESCE: Duration = Duration::from_millis(300);
-/// First and longest pause after failed calls; the longest is well under the time in which a configuration
-/// must be active.
+/// Shortest and longest pause after a failed call; the longest is well under the time in which a
+/// configuration must be active.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Time without a response, at a failed call, after which entries of live endpoints may have expired: shorter
