--- a/crates/daemon/tests/all/keys.rs
+++ b/crates/daemon/tests/all/keys.rs
@@ -192,8 +192,10 @@
     }
 }
 
-/// An instance is killed and restarted immediately. Its keys that callers created after the restart used to
-/// be "unknown" for the whole horizon, although no instance had run them. Each caller must get its response.
+/// Guards against keys that are "unknown" for the whole horizon although no instance has run them. An
+/// instance is killed and restarted immediately. The restarted home takes keys that callers create after the
+/// restart for keys that its previous incarnation may have granted, so that every retry is refused. Each
+/// caller must get its response.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_made_after_a_start_are_answered() {
     let fleet = Fleet::start(3).await;
--- a/crates/routing/tests/all/incarnations.rs
+++ b/crates/routing/tests/all/incarnations.rs
@@ -134,9 +134,9 @@
     assert_eq!(choose(&endpoints, now), key);
 }
 
-/// An entry names another service for a known id. The endpoint must be found under the new service only. In
-/// an earlier version it stayed listed under its first service for ever, and got requests there that it
-/// refused.
+/// Guards against requests for a service that an endpoint no longer offers. An entry names another service
+/// for a known id while the endpoint stays listed under its first service for ever, so that the endpoint gets
+/// requests there that it refuses. The endpoint must be found under the new service only.
 #[test]
 fn an_entry_with_another_service_moves_its_endpoint() {
     let (mut endpoints, now) = (Endpoints::default(), Instant::now());
--- a/crates/routing/tests/all/stages.rs
+++ b/crates/routing/tests/all/stages.rs
@@ -71,9 +71,10 @@
     assert!(decode(24_000) > decode(48_000));
 }
 
-/// Six thousand engines, of which two thousand prefill. An earlier version counted each domain again for each
-/// engine and each change, in four billion steps. The instance that gives the orders had no time for anything
-/// else, and orders reached engines while callers used them.
+/// Guards against a planning time that grows with the cube of the number of engines. Two thousand of six
+/// thousand engines prefill. The plan counts each domain again for each engine and each change, in four
+/// billion steps. The instance that gives the orders has no time for anything else meanwhile, so that orders
+/// reach engines while callers use them.
 #[test]
 fn stage_planning_scales_to_thousands_of_engines() {
     let engines = engines(2_000, 4_000);
--- a/crates/teams/tests/all/quota.rs
+++ b/crates/teams/tests/all/quota.rs
@@ -399,8 +399,9 @@
     assert!(units <= max_units(FLOOD), "{units}");
 }
 
-/// A network partition between failure domains lasts for more than ten minutes, as partitions between regions
-/// do several times a year. Each side used to forget the other after that time and admit the full limit.
+/// Guards against a full limit on each side of a long network partition. A partition between failure domains
+/// lasts for more than ten minutes, as partitions between regions do several times a year. Each side forgets
+/// the other after that time while the other still admits requests, so that both admit the full limit.
 #[test]
 fn a_partition_of_over_ten_minutes_keeps_to_the_limit() {
     let mut fleet = Fleet::new(QuotaMode::Shared, 4);
